--- a/src/cranberrywheel/node/leader.py
+++ b/src/cranberrywheel/node/leader.py
@@ -90,7 +90,7 @@
         machines: MachineClient | None,
         scheduler: Scheduler,
         is_valid: t.Callable[[], bool],
-        may_continue: t.Callable[[], bool],
+        may_continue_without_store: t.Callable[[], bool],
         step_down: t.Callable[[str], None],
         previous_fence: int = 0,
     ) -> None:
@@ -101,7 +101,7 @@
         self._client = client
         self._advisor = advisor
         self._is_valid = is_valid
-        self._may_continue = may_continue
+        self._may_continue_without_store = may_continue_without_store
         self._step_down = step_down
         self.scheduler = scheduler
         self._stopped = False
@@ -146,7 +146,7 @@
     def _read_executors(self) -> None:
         self._store.read_all(EXECUTOR_PREFIX, self._on_recorded_executors)
 
-    def account(self) -> bytes:
+    def handover_record(self) -> bytes:
         """Return the record of all runs for the next leader."""
         is_complete = self._submissions_ready and self._executors_ready
         now_ms = self._loop.clock.now_ms()
@@ -311,10 +311,10 @@
             self.scheduler.schedule(now_ms, unix_ms())
             for action in self.scheduler.take_actions():
                 self._carry_out(action)
-            self._flush()
+            self._write_changes()
 
     def _update_rights(self) -> None:
-        away = self._may_continue()
+        away = self._may_continue_without_store()
         self.scheduler.store_away = away
         allowed = self._is_valid() or away
         self.scheduler.may_start = allowed and self._executors_ready
@@ -411,7 +411,7 @@
                 run.paced_ms = 0  # decide again at the next look
                 run.paced = 100 if action.percent < 100 else 0
 
-        self._client.pace(
+        self._client.throttle(
             executor.entry,
             run.task.name,
             run.number,
@@ -448,7 +448,7 @@
         deadline_ms = 0
         # The lease of a lost executor runs out, so that its tasks can go elsewhere.
         renews = bool(executor.runs) and executor.reachable
-        if renews and (self._is_valid() or self._may_continue()):
+        if renews and (self._is_valid() or self._may_continue_without_store()):
             deadline_ms = executor.deadline(RUN_LEASE_MS, now_ms)
         was_reachable = executor.reachable
         waits = bool(executor.runs) and executor.fenced and executor.reachable
@@ -479,7 +479,7 @@
 
                 self._loop.after(delay_ms, again)
 
-        self._client.look(
+        self._client.poll(
             executor.entry,
             self.scheduler.fence,
             executor.acknowledged,
@@ -490,7 +490,7 @@
 
     # Records
 
-    def _flush(self) -> None:
+    def _write_changes(self) -> None:
         changed = self.scheduler.changed
         while changed and self._writes < MAX_WRITES:
             batch = [live for key, live in changed.items() if key not in self._writing]
--- a/src/cranberrywheel/node/node.py
+++ b/src/cranberrywheel/node/node.py
@@ -203,7 +203,7 @@
     def _hand_over(self) -> None:
         leader = self._leader
         if leader is not None:
-            self._leadership.release(leader.account, "the process stops")
+            self._leadership.release(leader.handover_record, "the process stops")
         if self._member_lease:
             # Nobody waits for this process to take the lead any more.
             self._store.end_lease(self._member_lease, lambda reply: None)
@@ -212,7 +212,9 @@
         self._loop.after(YIELD_CHECK_MS, self._yield_to_larger)
         leader = self._leader
         if leader and leader.is_loaded and self._leadership.should_yield:
-            self._leadership.release(leader.account, "a larger machine can lead")
+            self._leadership.release(
+                leader.handover_record, "a larger machine can lead"
+            )
 
     def _way_to_store(self) -> tuple[str, str] | None:
         helper = self._contact.helper()
@@ -329,7 +331,7 @@
             machines if settings.machines else None,
             scheduler,
             self._leadership.is_valid,
-            self._may_continue,
+            self._may_continue_without_store,
             self._leadership.step_down,
             previous_fence,
         )
@@ -340,7 +342,7 @@
             self._leader.stop()
             self._leader = None
 
-    def _may_continue(self) -> bool:
+    def _may_continue_without_store(self) -> bool:
         """Whether nobody can have taken over, since the store is away for all."""
         return self._contact.all_away(self._leadership.fence)
 
--- a/src/cranberrywheel/platform/executors.py
+++ b/src/cranberrywheel/platform/executors.py
@@ -197,7 +197,7 @@
         body = {"task": task, "run": number, "fencingToken": fence}
         self._order(entry, "/api/run-stop", body, done)
 
-    def pace(
+    def throttle(
         self,
         entry: ExecutorEntry,
         task: str,
@@ -210,7 +210,7 @@
         body = {"task": task, "run": number, "percent": percent, "fencingToken": fence}
         self._order(entry, "/api/pace", body, done)
 
-    def look(
+    def poll(
         self,
         entry: ExecutorEntry,
         fence: int,
--- a/src/cranberrywheel_standin/virtual_fleet.py
+++ b/src/cranberrywheel_standin/virtual_fleet.py
@@ -575,11 +575,11 @@
         lost = OrderReply(Verdict.UNKNOWN)
         self._deliver(entry, lambda x: x.stop(task, number, fence), done, lost)
 
-    def pace(self, *args: t.Any) -> None:
-        """See ``ExecutorClient.pace``; the pace has no effect here."""
+    def throttle(self, *args: t.Any) -> None:
+        """See ``ExecutorClient.throttle``; the pace has no effect here."""
         args[-1](OrderReply(Verdict.OK))
 
-    def look(
+    def poll(
         self,
         entry: ExecutorEntry,
         fence: int,
@@ -588,7 +588,7 @@
         wait_ms: int,
         done: t.Callable[[Look], None],
     ) -> None:
-        """See ``ExecutorClient.look``."""
+        """See ``ExecutorClient.poll``."""
         self.looks += 1
         executor = self.by_id[entry.id]
         give_up_ms = self._loop.clock.now_ms() + wait_ms
--- a/tests/leader_world.py
+++ b/tests/leader_world.py
@@ -103,7 +103,7 @@
         """Let the leader give up in good order, and a new one take over."""
         assert self.leader is not None
         self.leader.stop()
-        self.store.put(HANDOVER_KEY, self.leader.account())
+        self.store.put(HANDOVER_KEY, self.leader.handover_record())
         return self.lead()
 
     def lead(self) -> Leader:
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -276,7 +276,7 @@
     world.fleet.add("a", "pool")
     world.lead()
     world.run_for(200)
-    world.leader._may_continue = lambda: True
+    world.leader._may_continue_without_store = lambda: True
     world.submit(make_submission("s1", make_step(2)), 2_500)
     world.run_for(20)
     world.store.away = True
@@ -299,7 +299,7 @@
     world.lead()
     world.submit(make_submission("s1", make_step(2)), 300)
     world.run_for(100)
-    world.leader._flush = lambda: None
+    world.leader._write_changes = lambda: None
     world.run_for(400)
     assert len(world.fleet.done_ms_by_task) == 2
     world.fleet.by_id["a"].cut = True
