--- a/src/cranberrywheel/node/intake.py
+++ b/src/cranberrywheel/node/intake.py
@@ -1,4 +1,4 @@
-"""Takes submissions in: many callers' records in one write to the store."""
+"""Stores submissions, batching the records of many callers into one write."""
 
 import collections
 import dataclasses
@@ -12,20 +12,21 @@
 from cranberrywheel.submission.model import Submission
 from cranberrywheel.submission.record import encode_submission
 
-#: Submissions in one write: two conditions and one put each, of 32 entries.
-BATCH = 10
-#: Writes under way at once; a further one waits so that it can carry more.
-MAX_WRITES = 3
-#: Pause before a write that did not happen is tried again.
+#: Submissions in one write: each takes two conditions and one put, and a write holds
+#: at most 32 entries.
+SUBMISSIONS_PER_WRITE = 10
+#: Concurrent writes; while they run, further submissions collect into a larger batch.
+MAX_CONCURRENT_WRITES = 3
+#: Delay before a write that failed is retried.
 RETRY_MS = 150
 
 _log = PartLogger("intake")
 
 
 class Acceptance(enum.Enum):
-    """How a submission was taken in.
+    """Whether a submission was stored.
 
-    ``NOT_STORED``: certainly not, and it never will be. ``UNKNOWN``: it may be.
+    ``NOT_STORED``: it is not stored and never will be. ``UNKNOWN``: it may be stored.
     """
 
     STORED = "stored"
@@ -34,17 +35,17 @@
 
 
 @dataclasses.dataclass
-class _Entry:
+class _PendingSubmission:
     submission: Submission
     done: t.Callable[[Acceptance], None]
-    give_up_ms: int
-    attempted: bool = False
+    deadline_ms: int
+    may_be_stored: bool = False
 
 
 class Intake:
     """Stores submissions; all methods run on the loop's thread.
 
-    :param can_write: whether a call has a way to the store at this moment.
+    :param can_write: returns whether calls can reach the store at this moment.
     """
 
     def __init__(
@@ -56,87 +57,87 @@
         self._loop = loop
         self._store = store
         self._can_write = can_write
-        self._waiting: collections.deque[_Entry] = collections.deque()
-        self._writes = 0
+        self._pending: collections.deque[_PendingSubmission] = collections.deque()
+        self._active_writes = 0
 
     def submit(
         self,
         submission: Submission,
-        give_up_ms: int,
+        deadline_ms: int,
         done: t.Callable[[Acceptance], None],
     ) -> None:
-        """Store a submission, once, however often it is handed in.
+        """Store a submission; repeated calls with the same id store it once.
 
-        :param give_up_ms: steady time at which the caller gets its answer.
+        :param deadline_ms: time on the steady clock by which ``done`` is called.
         """
-        entry = _Entry(submission, done, give_up_ms)
+        item = _PendingSubmission(submission, done, deadline_ms)
         if self._can_write():
-            self._waiting.append(entry)
-            self._pump()
+            self._pending.append(item)
+            self._start_writes()
         else:
-            self._give_up(entry)
-
-    def _pump(self) -> None:
-        while self._waiting and self._writes < MAX_WRITES:
-            by_id: dict[str, _Entry] = {}
-            # A record may stand in one write only once.
-            while self._waiting and len(by_id) < BATCH:
-                if self._waiting[0].submission.id in by_id:
+            self._fail(item)
+
+    def _start_writes(self) -> None:
+        while self._pending and self._active_writes < MAX_CONCURRENT_WRITES:
+            by_id: dict[str, _PendingSubmission] = {}
+            # One write may contain each record only once.
+            while self._pending and len(by_id) < SUBMISSIONS_PER_WRITE:
+                if self._pending[0].submission.id in by_id:
                     break
-                entry = self._waiting.popleft()
-                by_id[entry.submission.id] = entry
+                item = self._pending.popleft()
+                by_id[item.submission.id] = item
             self._write(list(by_id.values()))
 
-    def _write(self, entries: list[_Entry]) -> None:
-        self._writes += 1
+    def _write(self, pending: list[_PendingSubmission]) -> None:
+        self._active_writes += 1
         conditions: list[tuple[str, int]] = []
         puts: list[tuple[str, bytes, int]] = []
-        for entry in entries:
-            key = submission_key(entry.submission.id)
+        for item in pending:
+            key = submission_key(item.submission.id)
             conditions += [(key, 0), (key + FINAL_SUFFIX, 0)]
-            puts.append((key, encode_submission(entry.submission), 0))
+            puts.append((key, encode_submission(item.submission), 0))
 
         def on_reply(reply: StoreReply) -> None:
-            self._writes -= 1
-            self._on_written(entries, reply)
-            self._pump()
+            self._active_writes -= 1
+            self._on_written(pending, reply)
+            self._start_writes()
 
         self._store.write(Write(tuple(conditions), tuple(puts)), on_reply)
 
-    def _on_written(self, entries: list[_Entry], reply: StoreReply) -> None:
+    def _on_written(self, pending: list[_PendingSubmission], reply: StoreReply) -> None:
         if reply.outcome is Outcome.OK:
-            for entry in entries:
-                entry.done(Acceptance.STORED)
-        elif reply.outcome is Outcome.CONFLICT and len(entries) == 1:
-            # The same submission came before; it remains one.
-            entries[0].done(Acceptance.STORED)
+            for item in pending:
+                item.done(Acceptance.STORED)
+        elif reply.outcome is Outcome.CONFLICT and len(pending) == 1:
+            # The submission is already stored, so this one is a duplicate.
+            pending[0].done(Acceptance.STORED)
         elif reply.outcome is Outcome.CONFLICT:
-            for entry in entries:
-                self._write([entry])
+            for item in pending:
+                self._write([item])
         else:
-            for entry in entries:
-                entry.attempted |= reply.outcome is not Outcome.NOT_DONE
-                self._try_again(entry)
+            for item in pending:
+                item.may_be_stored |= reply.outcome is not Outcome.NOT_DONE
+                self._retry_or_fail(item)
 
-    def _try_again(self, entry: _Entry) -> None:
-        in_time = self._loop.clock.now_ms() + RETRY_MS < entry.give_up_ms
-        # An attempt whose end is not known is worth the wait: its repetition finds
-        # out. Otherwise the caller is told at once to try elsewhere.
-        if in_time and (entry.attempted or self._can_write()):
+    def _retry_or_fail(self, item: _PendingSubmission) -> None:
+        has_time_left = self._loop.clock.now_ms() + RETRY_MS < item.deadline_ms
+        # After an attempt with an unknown outcome a retry shows whether it was stored.
+        # Without one the caller is told at once, so that it can try another instance.
+        if has_time_left and (item.may_be_stored or self._can_write()):
 
             def retry() -> None:
-                self._waiting.append(entry)
-                self._pump()
+                self._pending.append(item)
+                self._start_writes()
 
             self._loop.after(RETRY_MS, retry)
             return
-        self._give_up(entry)
+        self._fail(item)
 
-    def _give_up(self, entry: _Entry) -> None:
-        verdict = Acceptance.UNKNOWN if entry.attempted else Acceptance.NOT_STORED
+    def _fail(self, item: _PendingSubmission) -> None:
+        acceptance = Acceptance.UNKNOWN if item.may_be_stored else Acceptance.NOT_STORED
         _log.warning(
             "submission not stored",
-            request=entry.submission.id,
-            outcome=verdict.value,
+            request=item.submission.id,
+            outcome=acceptance.value,
         )
-        entry.done(verdict)
+        item.done(acceptance)
--- a/src/cranberrywheel/node/keys.py
+++ b/src/cranberrywheel/node/keys.py
@@ -19,7 +19,7 @@
 WAVE_PREFIX = "cw/w/"
 
 #: Pool to which each machine belongs when no queue has its turn.
-HOMES_KEY = "cw/homes"
+HOME_POOLS_KEY = "cw/homes"
 
 
 def submission_key(submission_id: str) -> str:
--- a/src/cranberrywheel/node/leader.py
+++ b/src/cranberrywheel/node/leader.py
@@ -6,7 +6,6 @@
 
 from cranberrywheel.connection.http_loop import HttpLoop
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.node.duties import Duties
 from cranberrywheel.node.keys import (
     CANCEL_SUFFIX,
     EXECUTOR_PREFIX,
@@ -18,6 +17,7 @@
     split_submission_key,
     submission_key,
 )
+from cranberrywheel.node.maintenance import MaintenanceController
 from cranberrywheel.node.watch import PrefixWatch
 from cranberrywheel.platform import executors as wire
 from cranberrywheel.platform.machines import MachineClient
@@ -89,7 +89,7 @@
         advisor: wire.AdvisorClient | None,
         machines: MachineClient | None,
         scheduler: Scheduler,
-        is_valid: t.Callable[[], bool],
+        has_valid_lease: t.Callable[[], bool],
         may_continue_without_store: t.Callable[[], bool],
         step_down: t.Callable[[str], None],
         previous_fence: int = 0,
@@ -100,7 +100,7 @@
         self._account = EMPTY_ACCOUNT
         self._client = client
         self._advisor = advisor
-        self._is_valid = is_valid
+        self._has_valid_lease = has_valid_lease
         self._may_continue_without_store = may_continue_without_store
         self._step_down = step_down
         self.scheduler = scheduler
@@ -122,9 +122,11 @@
         self._submission_watch = PrefixWatch(
             loop, store, SUBMISSION_PREFIX, self._on_record, self._on_submissions
         )
-        self.duties: Duties | None = None
+        self.maintenance: MaintenanceController | None = None
         if machines is not None:
-            self.duties = Duties(loop, store, machines, scheduler, is_valid)
+            self.maintenance = MaintenanceController(
+                loop, store, machines, scheduler, has_valid_lease
+            )
 
     def start(self) -> None:
         """Load the state, then decide."""
@@ -157,8 +159,8 @@
         self._stopped = True
         self._executor_watch.stop()
         self._submission_watch.stop()
-        if self.duties:
-            self.duties.stop()
+        if self.maintenance:
+            self.maintenance.stop()
 
     @property
     def is_loaded(self) -> bool:
@@ -203,8 +205,8 @@
         for submission_id in self._early_cancels:
             scheduler.cancel(submission_id, self._loop.clock.now_ms())
         self._early_cancels.clear()
-        if self.duties:
-            self.duties.start()
+        if self.maintenance:
+            self.maintenance.start()
         for executor in list(scheduler.executors_by_id.values()):
             self._look_if_wanted(executor)
         self.wake()
@@ -316,7 +318,7 @@
     def _update_rights(self) -> None:
         away = self._may_continue_without_store()
         self.scheduler.store_away = away
-        allowed = self._is_valid() or away
+        allowed = self._has_valid_lease() or away
         self.scheduler.may_start = allowed and self._executors_ready
 
     def _carry_out(self, action: a.Action) -> None:
@@ -448,7 +450,7 @@
         deadline_ms = 0
         # The lease of a lost executor runs out, so that its tasks can go elsewhere.
         renews = bool(executor.runs) and executor.reachable
-        if renews and (self._is_valid() or self._may_continue_without_store()):
+        if renews and (self._has_valid_lease() or self._may_continue_without_store()):
             deadline_ms = executor.deadline(RUN_LEASE_MS, now_ms)
         was_reachable = executor.reachable
         waits = bool(executor.runs) and executor.fenced and executor.reachable
--- a/src/cranberrywheel/node/duties.py
+++ b/src/cranberrywheel/node/maintenance.py
@@ -29,7 +29,7 @@
 _log = PartLogger("duties")
 
 
-class Duties:
+class MaintenanceController:
     """Upkeep of the waves that operators ask for.
 
     :param is_valid: whether this process certainly leads at this moment.
@@ -41,13 +41,13 @@
         store: Store,
         client: wire.MachineClient,
         scheduler: Scheduler,
-        is_valid: t.Callable[[], bool],
+        has_valid_lease: t.Callable[[], bool],
     ) -> None:
         self._loop = loop
         self._store = store
         self._client = client
         self._scheduler = scheduler
-        self._is_valid = is_valid
+        self._has_valid_lease = has_valid_lease
         self._states_by_key: dict[str, WaveState] = {}
         self._recorded: dict[str, set[str]] = {}
         self._machines_by_id: dict[str, Machine] = {}
@@ -112,7 +112,7 @@
             return
         self._machines_by_id = {machine.id: machine for machine in machines}
         now_ms = self._loop.clock.now_ms()
-        if now_ms >= self._first_order_ms and self._is_valid():
+        if now_ms >= self._first_order_ms and self._has_valid_lease():
             reserved = {
                 machine
                 for state in self._states_by_key.values()
@@ -133,7 +133,7 @@
     def _advance(self, key: str, state: WaveState) -> None:
         now_ms = self._loop.clock.now_ms()
         executors = self._executors_by_machine()
-        if now_ms < self._first_order_ms or not self._is_valid():
+        if now_ms < self._first_order_ms or not self._has_valid_lease():
             return
         for machine_id in choose_machines(
             state,
--- a/src/cranberrywheel/node/metrics.py
+++ b/src/cranberrywheel/node/metrics.py
@@ -27,7 +27,7 @@
             registry=self.registry,
         )
 
-    def note_answer(self, method: str, status: int, seconds: float) -> None:
+    def record_answer(self, method: str, status: int, seconds: float) -> None:
         """Count one answer."""
         self._answers.labels(method, str(status)).inc()
         self._latency.observe(seconds)
--- a/src/cranberrywheel/node/node.py
+++ b/src/cranberrywheel/node/node.py
@@ -13,7 +13,7 @@
 from cranberrywheel.connection.http_loop import HttpLoop, HttpReply, HttpRequest
 from cranberrywheel.connection.http_server import HttpServer
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.node.front import FrontApi
+from cranberrywheel.node.caller_api import CallerApi
 from cranberrywheel.node.intake import Acceptance, Intake
 from cranberrywheel.node.keys import (
     CANCEL_SUFFIX,
@@ -23,13 +23,13 @@
     submission_key,
 )
 from cranberrywheel.node.leader import Leader
-from cranberrywheel.node.leadership import Candidate, Leadership, lead_capacity
+from cranberrywheel.node.leadership import Candidate, Leadership, scheduling_capacity
 from cranberrywheel.node.metrics import Metrics
-from cranberrywheel.node.store_contact import (
+from cranberrywheel.node.store_route import (
     PEER_TIMEOUT_MS,
     RELAY_PREFIX,
     STATUS_PATH,
-    StoreContact,
+    StoreRoute,
 )
 from cranberrywheel.node.watch import PrefixWatch
 from cranberrywheel.platform.callers import READY_PATH
@@ -95,13 +95,15 @@
         self._store = Store(
             self._loop,
             settings.store,
-            lambda answered: self._contact.note(answered),
-            self._way_to_store,
+            lambda answered: self._store_route.record_call(answered),
+            self._relay_route,
         )
-        self._contact = StoreContact(
+        self._store_route = StoreRoute(
             self._loop, self._peer_addresses, self._store.probe
         )
-        self._intake = Intake(self._loop, self._store, lambda: self._contact.can_write)
+        self._intake = Intake(
+            self._loop, self._store, lambda: self._store_route.has_route
+        )
         self._executors = ExecutorClient(self._loop)
         self._leader: Leader | None = None
         self._registered = False
@@ -111,16 +113,16 @@
         self._candidate = Candidate(
             self._process,
             self._peer_address,
-            lead_capacity(settings.cores, settings.link_mbps),
+            scheduling_capacity(settings.cores, settings.link_mbps),
         )
         self._leadership = Leadership(
             self._loop,
             self._store,
             self._candidate,
-            self._largest_rival,
+            self._largest_rival_capacity,
             self._may_compete,
-            self._on_gain,
-            self._on_loss,
+            self._on_leadership_acquired,
+            self._on_leadership_lost,
         )
         self._config_watch = PrefixWatch(
             self._loop, self._store, OPERATOR_PREFIX + "config", self._on_configuration
@@ -145,7 +147,7 @@
         self._front = HttpServer(
             host,
             int(port),
-            FrontApi(self, self._metrics),
+            CallerApi(self, self._metrics),
             FRONT_THREADS,
             MAX_BODY_BYTES,
         )
@@ -184,7 +186,7 @@
         self._config_watch.start()
         self._member_watch.start()
         self._leadership.start()
-        self._contact.start()
+        self._store_route.start()
         self._register()
         self._loop.after(YIELD_CHECK_MS, self._yield_to_larger)
 
@@ -216,9 +218,9 @@
                 leader.handover_record, "a larger machine can lead"
             )
 
-    def _way_to_store(self) -> tuple[str, str] | None:
-        helper = self._contact.helper()
-        return (helper, RELAY_PREFIX) if helper else None
+    def _relay_route(self) -> tuple[str, str] | None:
+        relay_peer = self._store_route.relay_peer()
+        return (relay_peer, RELAY_PREFIX) if relay_peer else None
 
     # Configuration
 
@@ -307,7 +309,7 @@
     def _peer_addresses(self) -> list[str]:
         return [member.address for member in self._rivals()]
 
-    def _largest_rival(self) -> float:
+    def _largest_rival_capacity(self) -> float:
         return max((member.capacity for member in self._rivals()), default=0.0)
 
     # Leadership
@@ -315,9 +317,11 @@
     def _may_compete(self) -> bool:
         return not self.stopping and self.configuration is not None and self._registered
 
-    def _on_gain(self, fence: int, term: int, previous_fence: int) -> None:
+    def _on_leadership_acquired(
+        self, fence: int, term: int, previous_fence: int
+    ) -> None:
         scheduler = Scheduler(fence, term, self._settings.bounds, self._clock.now_ms())
-        scheduler.trusts_records = not self._contact.was_away_lately()
+        scheduler.trusts_records = not self._store_route.was_recently_unreachable()
         if self.configuration:
             scheduler.set_configuration(self.configuration)
         settings = self._settings
@@ -330,21 +334,21 @@
             advisor if settings.advisor else None,
             machines if settings.machines else None,
             scheduler,
-            self._leadership.is_valid,
+            self._leadership.has_valid_lease,
             self._may_continue_without_store,
             self._leadership.step_down,
             previous_fence,
         )
         self._leader.start()
 
-    def _on_loss(self) -> None:
+    def _on_leadership_lost(self) -> None:
         if self._leader:
             self._leader.stop()
             self._leader = None
 
     def _may_continue_without_store(self) -> bool:
         """Whether nobody can have taken over, since the store is away for all."""
-        return self._contact.all_away(self._leadership.fence)
+        return self._store_route.is_unreachable_for_all(self._leadership.fence)
 
     # What the front asks for
 
@@ -357,8 +361,8 @@
         """Store a submission."""
 
         def begin(future: "Future[Acceptance]") -> None:
-            give_up_ms = self._clock.now_ms() + wait_ms
-            self._intake.submit(submission, give_up_ms, future.set_result)
+            deadline_ms = self._clock.now_ms() + wait_ms
+            self._intake.submit(submission, deadline_ms, future.set_result)
 
         return self._on_loop(begin)
 
@@ -371,8 +375,8 @@
     def _find_state(
         self, submission_id: str, wait_ms: int, future: "Future[State | None]"
     ) -> None:
-        give_up_ms = self._clock.now_ms() + wait_ms
-        if self._leader and self._leadership.is_valid():
+        deadline_ms = self._clock.now_ms() + wait_ms
+        if self._leader and self._leadership.has_valid_lease():
             state = self._leader.scheduler.state_of(submission_id)
             if state is not None:
                 future.set_result(state)
@@ -386,7 +390,7 @@
             if reply.outcome is Outcome.OK:
                 by_key = {item.key: item.value or b"" for item in reply.items}
                 future.set_result(_state_from_records(key, by_key))
-            elif self._clock.now_ms() + RETRY_MS < give_up_ms:
+            elif self._clock.now_ms() + RETRY_MS < deadline_ms:
                 if not self._ask_leader(submission_id, future, read):
                     self._loop.after(RETRY_MS, read)
 
@@ -422,14 +426,14 @@
         )
 
     def _cancel(
-        self, submission_id: str, give_up_ms: int, future: "Future[bool]"
+        self, submission_id: str, deadline_ms: int, future: "Future[bool]"
     ) -> None:
         key = submission_key(submission_id)
 
         def retry() -> None:
-            if self._clock.now_ms() + RETRY_MS < give_up_ms:
+            if self._clock.now_ms() + RETRY_MS < deadline_ms:
                 self._loop.after(
-                    RETRY_MS, lambda: self._cancel(submission_id, give_up_ms, future)
+                    RETRY_MS, lambda: self._cancel(submission_id, deadline_ms, future)
                 )
 
         def on_items(reply: StoreReply) -> None:
@@ -487,7 +491,7 @@
         ready = (
             self.configuration is not None
             and not self.stopping
-            and not self._contact.is_isolated(self._leadership.fence)
+            and not self._store_route.is_isolated(self._leadership.fence)
         )
         status = 200 if request.path == READY_PATH and ready else 503
         return Response(b"", status=status)(environ, start_response)
@@ -519,7 +523,7 @@
         body = request.get_data() if request.method == "POST" else None
         answer: Future[HttpReply] = Future()
         self._loop.post(
-            lambda: self._store.pass_on(
+            lambda: self._store.relay(
                 request.method, path, body, RELAY_TIMEOUT_MS, answer.set_result
             )
         )
@@ -536,7 +540,7 @@
         if request.path == STATUS_PATH:
             holder = self._leadership.holder
             return {
-                "store_away": self._contact.is_away,
+                "store_away": self._store_route.is_unreachable,
                 "fence": holder.fence if holder else 0,
                 "version": self.configuration.version if self.configuration else 0,
             }
--- a/src/cranberrywheel/node/pool_moves.py
+++ b/src/cranberrywheel/node/pool_moves.py
@@ -5,7 +5,7 @@
 
 from cranberrywheel.connection.http_loop import HttpLoop
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.node.keys import HOMES_KEY, LEADER_KEY
+from cranberrywheel.node.keys import HOME_POOLS_KEY, LEADER_KEY
 from cranberrywheel.platform.machines import MachineClient
 from cranberrywheel.platform.store import Outcome, Store, StoreReply, Write
 from cranberrywheel.submission.demand import demand_by_service
@@ -58,7 +58,7 @@
                 self._stored_homes = len(homes)
             self._loaded = True
 
-        self._store.read(HOMES_KEY, on_reply)
+        self._store.read(HOME_POOLS_KEY, on_reply)
 
     def advance(
         self,
@@ -144,7 +144,7 @@
         self._stored_homes = len(homes)
         write = Write(
             ((LEADER_KEY, self._scheduler.fence),),
-            ((HOMES_KEY, json.dumps(homes).encode(), 0),),
+            ((HOME_POOLS_KEY, json.dumps(homes).encode(), 0),),
         )
 
         def on_reply(reply: StoreReply) -> None:
--- /dev/null
+++ b/src/cranberrywheel/node/store_route.py
@@ -0,0 +1,198 @@
+"""Route to the store: direct calls or, while these fail, a peer that relays them."""
+
+import dataclasses
+import json
+import typing as t
+
+from cranberrywheel.connection.http_loop import HttpLoop, HttpReply, HttpRequest
+from cranberrywheel.logs import PartLogger
+
+STATUS_PATH = "/peer/status"
+#: Path prefix under which a peer relays calls to the store.
+RELAY_PREFIX = "/relay"
+#: Consecutive unanswered calls after which the store counts as unreachable.
+FAILURES_UNTIL_UNREACHABLE = 2
+#: Time without an answer after which a single failed call suffices.
+SILENCE_UNTIL_UNREACHABLE_MS = 900
+#: Interval between polls of the peers while the store is unreachable.
+PEER_POLL_INTERVAL_MS = 250
+#: Timeout of a call to a peer; the round trip between zones takes about 1 ms.
+PEER_TIMEOUT_MS = 400
+#: Time for which a peer's report is used.
+REPORT_LIFETIME_MS = 1_000
+#: Time without a route after which the readiness check fails, so that the balancer
+#: sends callers to other instances.
+ISOLATION_DELAY_MS = 700
+#: Time for which an outage is remembered: longer than every executor lease that a
+#: leader may have extended without the store.
+OUTAGE_MEMORY_MS = 8_000
+
+_log = PartLogger("store-contact")
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class _PeerReport:
+    received_ms: int
+    store_away: bool
+    fence: int
+
+
+class StoreRoute:
+    """Tracks whether the store answers and selects a relay peer while it does not.
+
+    All methods run on the loop's thread.
+
+    :param peers: returns the ``host:port`` of the other entry instances.
+    :param probe: sends one direct call to the store.
+    """
+
+    def __init__(
+        self,
+        loop: HttpLoop,
+        peers: t.Callable[[], list[str]],
+        probe: t.Callable[[], None],
+    ) -> None:
+        self._loop = loop
+        self._peers = peers
+        self._probe = probe
+        self._last_answer_ms = loop.clock.now_ms()
+        self._failures = 0
+        self._report_by_address: dict[str, _PeerReport] = {}
+        self._relay_peer: str | None = None
+        self._unreachable_since_ms = 0
+        # A new process cannot know whether there was an outage, so it assumes one.
+        self._last_unreachable_ms = loop.clock.now_ms()
+
+    def start(self) -> None:
+        """Start the periodic probes."""
+        self._loop.after(PEER_POLL_INTERVAL_MS, self._on_timer)
+
+    def record_call(self, answered: bool) -> None:
+        """Record whether the store answered a direct call."""
+        if answered:
+            self._last_answer_ms = self._loop.clock.now_ms()
+            self._failures = 0
+        else:
+            self._failures += 1
+            if self._failures == 1:
+                self._poll_peers()  # reports are then available if the next call fails
+        self._update_state()
+
+    @property
+    def is_unreachable(self) -> bool:
+        """Whether direct calls to the store fail."""
+        return self._unreachable_since_ms > 0
+
+    def relay_peer(self) -> str | None:
+        """Return the address of the relay peer; ``None`` for direct calls."""
+        return self._relay_peer if self.is_unreachable else None
+
+    @property
+    def has_route(self) -> bool:
+        """Whether calls can reach the store, directly or through a peer."""
+        return not self.is_unreachable or self._relay_peer is not None
+
+    def is_unreachable_for_all(self, fence: int) -> bool:
+        """Whether no instance can reach the store and no peer knows a newer leader.
+
+        Requires a recent report from every peer.
+
+        :param fence: fencing token of the leadership that this process holds.
+        """
+        if not self.is_unreachable:
+            return False
+        now_ms = self._loop.clock.now_ms()
+        for address in self._peers():
+            report = self._report_by_address.get(address)
+            if report is None or now_ms - report.received_ms > REPORT_LIFETIME_MS:
+                return False
+            if not report.store_away or report.fence > fence:
+                return False
+        return True
+
+    def is_isolated(self, fence: int) -> bool:
+        """Whether callers should use other instances, since those may reach the store.
+
+        :param fence: fencing token of the leadership that this process holds.
+        """
+        now_ms = self._loop.clock.now_ms()
+        return (
+            self.is_unreachable
+            and now_ms - self._unreachable_since_ms > ISOLATION_DELAY_MS
+            and self._relay_peer is None
+            and not self.is_unreachable_for_all(fence)
+        )
+
+    def was_recently_unreachable(self) -> bool:
+        """Whether a leader may recently have continued without the store."""
+        if self.is_unreachable:
+            return True
+        return self._loop.clock.now_ms() - self._last_unreachable_ms < OUTAGE_MEMORY_MS
+
+    def _update_state(self) -> None:
+        now_ms = self._loop.clock.now_ms()
+        unreachable = self._failures >= FAILURES_UNTIL_UNREACHABLE or (
+            self._failures > 0
+            and now_ms - self._last_answer_ms > SILENCE_UNTIL_UNREACHABLE_MS
+        )
+        if unreachable and not self._unreachable_since_ms:
+            self._unreachable_since_ms = now_ms
+            _log.warning(
+                "store does not answer; selecting a relay peer", failures=self._failures
+            )
+            self._select_relay_peer()
+            self._poll_peers()
+        elif not unreachable and self._unreachable_since_ms:
+            _log.event(
+                "store answers again", after_ms=now_ms - self._unreachable_since_ms
+            )
+            self._unreachable_since_ms = 0
+            self._last_unreachable_ms = now_ms
+            self._relay_peer = None
+            self._report_by_address.clear()
+
+    def _on_timer(self) -> None:
+        self._loop.after(PEER_POLL_INTERVAL_MS, self._on_timer)
+        if self.is_unreachable:
+            self._probe()
+            self._poll_peers()
+
+    def _poll_peers(self) -> None:
+        for address in self._peers():
+            request = HttpRequest(
+                "GET", address, STATUS_PATH, timeout_ms=PEER_TIMEOUT_MS
+            )
+            self._loop.call(
+                request, lambda reply, a=address: self._on_peer_report(a, reply)
+            )
+
+    def _on_peer_report(self, address: str, reply: HttpReply) -> None:
+        try:
+            body = json.loads(reply.body)
+            report = _PeerReport(
+                self._loop.clock.now_ms(), bool(body["store_away"]), int(body["fence"])
+            )
+        except (KeyError, TypeError, ValueError):
+            self._report_by_address.pop(address, None)
+            if self._relay_peer == address:
+                self._select_relay_peer()
+            return
+        self._report_by_address[address] = report
+        if not self.is_unreachable:
+            return
+        if self._relay_peer is None or self._relay_peer == address:
+            self._select_relay_peer()
+
+    def _select_relay_peer(self) -> None:
+        now_ms = self._loop.clock.now_ms()
+        usable_peers = [
+            address
+            for address, report in self._report_by_address.items()
+            if not report.store_away
+            and now_ms - report.received_ms <= REPORT_LIFETIME_MS
+        ]
+        chosen = self._relay_peer if self._relay_peer in usable_peers else None
+        chosen = chosen or (usable_peers[0] if usable_peers else None)
+        if chosen != self._relay_peer and self.is_unreachable:
+            _log.event("relay peer selected", helper=chosen or "none")
+        self._relay_peer = chosen
--- a/src/cranberrywheel/platform/store.py
+++ b/src/cranberrywheel/platform/store.py
@@ -63,7 +63,7 @@
     revision: int = 0
     lease: int = 0
     ttl_ms: int = 0
-    more: bool = False
+    has_more: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
     deletes: tuple[str, ...] = ()
 
 
-Done = t.Callable[[StoreReply], None]
+ReplyCallback = t.Callable[[StoreReply], None]
 
 _OUTCOME_BY_STATUS = {
     200: Outcome.OK,
@@ -139,23 +139,23 @@
         self,
         loop: HttpLoop,
         address: str,
-        on_contact: t.Callable[[bool], None],
-        way: t.Callable[[], tuple[str, str] | None] = lambda: None,
+        on_call_end: t.Callable[[bool], None],
+        route: t.Callable[[], tuple[str, str] | None] = lambda: None,
     ) -> None:
         self._loop = loop
         self._address = address
-        self._on_contact = on_contact
-        self._way = way
+        self._on_call_end = on_call_end
+        self._route = route
 
     def probe(self) -> None:
         """Make one direct call, only to learn whether it is answered."""
         path = "/api/kv-key?key=probe&staleOk=1"
         request = HttpRequest("GET", self._address, path, timeout_ms=CALL_TIMEOUT_MS)
         self._loop.call(
-            request, lambda reply: self._on_contact(_decode(reply).outcome.is_answer)
+            request, lambda reply: self._on_call_end(_decode(reply).outcome.is_answer)
         )
 
-    def pass_on(
+    def relay(
         self,
         method: str,
         path: str,
@@ -171,30 +171,30 @@
         self,
         method: str,
         path: str,
-        done: Done,
+        done: ReplyCallback,
         body: t.Any = None,
         timeout_ms: int = CALL_TIMEOUT_MS,
     ) -> None:
-        way = self._way()
+        route = self._route()
 
         def decode(reply: HttpReply) -> None:
             result = _decode(reply)
-            if way is None:
-                self._on_contact(result.outcome.is_answer)
+            if route is None:
+                self._on_call_end(result.outcome.is_answer)
             done(result)
 
-        address, prefix = way or (self._address, "")
+        address, prefix = route or (self._address, "")
         data = None if body is None else json.dumps(body).encode()
         request = HttpRequest(
             method, address, prefix + path, data, timeout_ms=timeout_ms
         )
         self._loop.call(request, decode)
 
-    def read(self, key: str, done: Done) -> None:
+    def read(self, key: str, done: ReplyCallback) -> None:
         """Read one key; ``ABSENT`` if there is none."""
         self._call("GET", f"/api/kv-key?{urllib.parse.urlencode({'key': key})}", done)
 
-    def read_all(self, prefix: str, done: Done) -> None:
+    def read_all(self, prefix: str, done: ReplyCallback) -> None:
         """Read all items under a prefix.
 
         The reply's revision is the first page's, so that a watch from there misses
@@ -216,14 +216,14 @@
                 return
             items.extend(reply.items)
             revisions.append(reply.revision)
-            if reply.more and reply.items:
+            if reply.has_more and reply.items:
                 read_page(reply.items[-1].key)
             else:
                 done(StoreReply(Outcome.OK, tuple(items), revisions[0]))
 
         read_page("")
 
-    def watch(self, prefix: str, after: int, wait_ms: int, done: Done) -> None:
+    def watch(self, prefix: str, after: int, wait_ms: int, done: ReplyCallback) -> None:
         """Wait for changes under a prefix after a revision."""
         query = urllib.parse.urlencode(
             {"prefix": prefix, "after": after, "waitMs": wait_ms}
@@ -232,7 +232,7 @@
             "GET", f"/api/kv-watch?{query}", done, timeout_ms=wait_ms + WATCH_MARGIN_MS
         )
 
-    def write(self, write: Write, done: Done) -> None:
+    def write(self, write: Write, done: ReplyCallback) -> None:
         """Write all or nothing; a ``CONFLICT`` brings the conditions' items."""
         body = {
             "precondition": [{"key": k, "revision": r} for k, r in write.conditions],
@@ -248,16 +248,16 @@
         }
         self._call("POST", "/api/kv-txn", done, body)
 
-    def grant_lease(self, ttl_ms: int, done: Done) -> None:
+    def grant_lease(self, ttl_ms: int, done: ReplyCallback) -> None:
         """Create a lease."""
         self._call("POST", "/api/kv-lease", done, {"ttlMs": ttl_ms})
 
     def renew_lease(
-        self, lease: int, done: Done, timeout_ms: int = CALL_TIMEOUT_MS
+        self, lease: int, done: ReplyCallback, timeout_ms: int = CALL_TIMEOUT_MS
     ) -> None:
         """Renew a lease; ``ABSENT`` if it has ended."""
         self._call("POST", f"/api/kv-keep/{lease}", done, {}, timeout_ms)
 
-    def end_lease(self, lease: int, done: Done) -> None:
+    def end_lease(self, lease: int, done: ReplyCallback) -> None:
         """End a lease and delete its keys."""
         self._call("DELETE", f"/api/kv-lease-end/{lease}", done)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -3,16 +3,16 @@
 import typing as t
 
 from cranberrywheel.node.leadership import (
-    DEFER_MS,
-    YIELD_AFTER_MS,
+    LARGER_CANDIDATE_DELAY_MS,
+    MIN_LEADERSHIP_MS,
     Candidate,
     Leadership,
-    lead_capacity,
+    scheduling_capacity,
 )
 from cranberrywheel_standin.virtual_fleet import VirtualLoop, VirtualStore
 
-LARGE = lead_capacity(2.15, 100)
-SMALL = lead_capacity(0.516, 5)
+LARGE = scheduling_capacity(2.15, 100)
+SMALL = scheduling_capacity(0.516, 5)
 
 
 class Contest:
@@ -56,7 +56,7 @@
     """Nobody leads, since all wait for a machine that cannot."""
     contest = Contest(SMALL, LARGE)
     contest.able[1] = False
-    contest.loop.run_for(DEFER_MS)
+    contest.loop.run_for(LARGER_CANDIDATE_DELAY_MS)
     assert contest.leaders() == []
     contest.loop.run_for(1_500)
     assert contest.leaders() == [0]
@@ -70,7 +70,7 @@
     small, large = contest.rows
     assert small.is_leader and not small.should_yield
     contest.able[1] = True
-    contest.loop.run_for(YIELD_AFTER_MS)
+    contest.loop.run_for(MIN_LEADERSHIP_MS)
     assert small.should_yield
     small.release(lambda: b"{}", "a larger machine can lead")
     contest.loop.run_for(300)
@@ -81,9 +81,9 @@
     """A small machine that gives the lead up every few seconds for nothing."""
     contest = Contest(SMALL, LARGE)
     contest.able[1] = False
-    contest.loop.run_for(3_000 + YIELD_AFTER_MS)
+    contest.loop.run_for(3_000 + MIN_LEADERSHIP_MS)
     contest.rows[0].release(lambda: b"{}", "a larger machine can lead")
-    contest.loop.run_for(3_000 + YIELD_AFTER_MS)
+    contest.loop.run_for(3_000 + MIN_LEADERSHIP_MS)
     assert contest.leaders() == [0] and not contest.rows[0].should_yield
 
 
--- /dev/null
+++ b/tests/test_store_route.py
@@ -0,0 +1,101 @@
+"""Choice of the route to the store while direct calls to it fail."""
+
+import json
+
+from cranberrywheel.connection.http_loop import HttpReply
+from cranberrywheel.node.store_route import ISOLATION_DELAY_MS, StoreRoute
+from cranberrywheel_standin.virtual_fleet import VirtualLoop
+
+
+class PeerLoop(VirtualLoop):
+    """A loop on which each peer returns the given body; ``None``: no answer."""
+
+    def __init__(self, body_by_address):
+        super().__init__()
+        self.body_by_address = body_by_address
+
+    def call(self, request, done):
+        body = self.body_by_address.get(request.address)
+        if body is None:
+            self.after(request.timeout_ms, lambda: done(HttpReply(0)))
+        else:
+            reply = HttpReply(200, json.dumps(body).encode())
+            self.after(2, lambda: done(reply))
+
+
+def make_route(body_by_address):
+    loop = PeerLoop(body_by_address)
+    route = StoreRoute(loop, lambda: list(body_by_address), lambda: None)
+    route.start()
+    return loop, route
+
+
+def make_unreachable(loop, route):
+    route.record_call(False)
+    route.record_call(False)
+    loop.run_for(ISOLATION_DELAY_MS + 500)
+
+
+def test_calls_go_through_a_peer_that_reaches_the_store():
+    """Guards against failed calls while only some instances reach the store."""
+    loop, route = make_route(
+        {
+            "a": {"store_away": True, "fence": 3},
+            "b": {"store_away": False, "fence": 3},
+        }
+    )
+    make_unreachable(loop, route)
+    assert route.relay_peer() == "b"
+    assert route.has_route and not route.is_isolated(3)
+
+
+def test_process_without_a_route_is_isolated():
+    """Guards against a partitioned zone that accepts callers it cannot serve."""
+    loop, route = make_route({"a": {"store_away": True, "fence": 3}, "b": None})
+    make_unreachable(loop, route)
+    assert route.is_isolated(3) and not route.has_route
+
+
+def test_outage_for_all_isolates_no_process():
+    """Guards against a store outage in which no instance stays ready."""
+    loop, route = make_route(
+        {"a": {"store_away": True, "fence": 3}, "b": {"store_away": True, "fence": 0}}
+    )
+    make_unreachable(loop, route)
+    assert route.is_unreachable_for_all(3) and not route.is_isolated(3)
+
+
+def test_leader_does_not_continue_when_a_peer_knows_a_newer_one():
+    """Guards against two leaders that both extend executor leases."""
+    loop, route = make_route({"a": {"store_away": True, "fence": 9}})
+    make_unreachable(loop, route)
+    assert not route.is_unreachable_for_all(3)
+
+
+def test_leader_does_not_continue_when_a_peer_does_not_answer():
+    """Guards against two leaders: an unreachable peer may have taken over."""
+    loop, route = make_route({"a": {"store_away": True, "fence": 3}, "b": None})
+    make_unreachable(loop, route)
+    assert not route.is_unreachable_for_all(3)
+
+
+def test_direct_calls_resume_once_the_store_answers():
+    """Guards against calls that stay on the relay peer after an outage."""
+    loop, route = make_route({"a": {"store_away": False, "fence": 3}})
+    make_unreachable(loop, route)
+    assert route.relay_peer() == "a"
+    route.record_call(True)
+    assert route.relay_peer() is None and route.was_recently_unreachable()
+    loop.run_for(9_000)
+    assert not route.was_recently_unreachable()
+
+
+def test_relay_peer_is_known_when_the_second_call_fails():
+    """Guards against a leader whose lease expires while it selects a relay peer
+    (scenario mlr-clyde trouble-1, at 16.5 s: 1.5 s without a leader)."""
+    loop, route = make_route({"a": {"store_away": False, "fence": 3}})
+    route.record_call(False)
+    loop.run_for(10)
+    assert route.relay_peer() is None
+    route.record_call(False)
+    assert route.relay_peer() == "a"
