--- a/src/cranberrywheel/process/budget.py
+++ b/src/cranberrywheel/process/budget.py
@@ -8,7 +8,7 @@
     Fleet,
     FleetInstance,
     InstanceState,
-    dependency_pools,
+    find_dependency_pools,
 )
 from cranberrywheel.version.configuration import Configuration
 
@@ -27,7 +27,7 @@
     return (
         instance.live
         and instance.report.reachable
-        and instance.row.state is InstanceState.SERVING
+        and instance.assignment.state is InstanceState.SERVING
     )
 
 
@@ -114,7 +114,7 @@
         return False
 
 
-class BudgetLedger:
+class AvailabilityBudgets:
     """Availability budgets of all pools while one plan is made.
 
     An instance out on purpose, settling after maintenance or unhealthy counts as
@@ -129,7 +129,7 @@
         fleet: Fleet,
         out_names: t.Collection[str] = (),
     ) -> None:
-        self._needed = dependency_pools(configuration)
+        self._needed = find_dependency_pools(configuration)
         self._budgets = {
             pool: _PoolBudget(n)
             for pool, n in min_healthy_by_pool(configuration).items()
--- a/src/cranberrywheel/process/capacity.py
+++ b/src/cranberrywheel/process/capacity.py
@@ -7,28 +7,28 @@
 from cranberrywheel.process.fleet_model import (
     Fleet,
     QueueUsage,
-    dependency_pools,
-    services_by_pool,
+    find_dependency_pools,
+    group_services_by_pool,
 )
 from cranberrywheel.version.configuration import Configuration, Pool, Queue, Weights
 
 #: A queue bursts to five times its mean and lies at a twentieth in between.
-SURGE_FACTOR = 5.0
-LULL_FACTOR = 0.05
+BURST_FACTOR = 5.0
+IDLE_FACTOR = 0.05
 #: A move costs its worker minutes of service once; a buffer costs all the time.
-MOVE_FACTOR = 0.5
+MOVE_COST_FACTOR = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
-class PoolNeed:
+class PoolDemand:
     """Workers that a pool needs.
 
     :param mean: for its mean load.
     :param surge: while its largest queue bursts and the others lie low.
     """
 
-    mean: float
-    surge: float
+    mean_workers: float
+    burst_workers: float
 
 
 def _workers_for(queue: Queue, usage: QueueUsage | None, pool: Pool) -> float:
@@ -41,9 +41,9 @@
     )
 
 
-def pool_needs(
+def compute_pool_demands(
     configuration: Configuration, usage_by_queue: dict[str, QueueUsage]
-) -> dict[str, PoolNeed]:
+) -> dict[str, PoolDemand]:
     """Compute what each pool needs, from learned usage where there is any.
 
     The queues of a pool share one buffer because they burst in turn: it covers the
@@ -56,14 +56,14 @@
         means[pool.name].append(workers)
     needs = {}
     for name, loads in means.items():
-        lull = LULL_FACTOR * sum(loads)
-        burst = (SURGE_FACTOR - LULL_FACTOR) * max(loads, default=0.0)
-        needs[name] = PoolNeed(mean=sum(loads), surge=lull + burst)
+        lull = IDLE_FACTOR * sum(loads)
+        burst = (BURST_FACTOR - IDLE_FACTOR) * max(loads, default=0.0)
+        needs[name] = PoolDemand(mean_workers=sum(loads), burst_workers=lull + burst)
     return needs
 
 
 @functools.lru_cache(maxsize=50_000)
-def wave_limit(counts: tuple[int, ...], min_healthy: int) -> int:
+def compute_wave_limit(counts: tuple[int, ...], min_healthy: int) -> int:
     """Return how many workers of a pool may be out so that any zone may be lost.
 
     Where the loss of a zone breaks the budget without maintenance, only workers of
@@ -95,7 +95,7 @@
     """
 
     counts: dict[str, dict[str, int]]
-    needs_by_pool: dict[str, PoolNeed]
+    demands_by_pool: dict[str, PoolDemand]
     min_healthy_by_pool: dict[str, int]
     importance_by_pool: dict[str, float]
     spare_pools: frozenset[str]
@@ -112,14 +112,14 @@
         return max(1, sum(self.sizes_by_pool.values()))
 
     @functools.cached_property
-    def best_waves(self) -> dict[tuple[str, int, int], tuple[float, int]]:
+    def best_wave_cache(self) -> dict[tuple[str, int, int], tuple[float, int]]:
         """Memo of :func:`best_wave` by pool, size and wave limit."""
         return {}
 
     @property
     def move_cost(self) -> float:
         """Cost of one move."""
-        return self.weights.moves * MOVE_FACTOR / self.fleet_size
+        return self.weights.moves * MOVE_COST_FACTOR / self.fleet_size
 
 
 def build_problem(configuration: Configuration, fleet: Fleet) -> SizingProblem:
@@ -127,11 +127,11 @@
     zones = list(configuration.regions_by_zone)
     counts = {pool: dict.fromkeys(zones, 0) for pool in configuration.pools_by_name}
     for instance in fleet.instances_by_name.values():
-        pool = instance.row.target_pool or instance.pool
+        pool = instance.assignment.target_pool or instance.pool
         declared = instance.name in configuration.workers_by_name
         if declared and pool in counts:
             counts[pool][instance.zone] += 1
-    needed = dependency_pools(configuration)
+    needed = find_dependency_pools(configuration)
     dependents = dict.fromkeys(counts, 1.0)
     for others in needed.values():
         for other in others:
@@ -141,7 +141,7 @@
             pool: {zone: n for zone, n in by_zone.items() if n}
             for pool, by_zone in counts.items()
         },
-        needs_by_pool=pool_needs(configuration, fleet.usage_by_queue),
+        demands_by_pool=compute_pool_demands(configuration, fleet.usage_by_queue),
         min_healthy_by_pool=min_healthy_by_pool(configuration),
         importance_by_pool=dependents,
         spare_pools=frozenset(
@@ -156,22 +156,28 @@
     services = configuration.services_by_name
     return {
         pool: max((services[name].min_healthy for name in names), default=0)
-        for pool, names in services_by_pool(configuration).items()
+        for pool, names in group_services_by_pool(configuration).items()
     }
 
 
-def pool_cost(problem: SizingProblem, pool: str, total: int, wave: int) -> float:
+def compute_pool_cost(
+    problem: SizingProblem, pool: str, total: int, wave: int
+) -> float:
     """Return the cost of one pool, without moves.
 
     :param total: its workers.
     :param wave: how many of them are out at once during maintenance.
     """
-    weights, need = problem.weights, problem.needs_by_pool[pool]
-    idle = 0.0 if pool in problem.spare_pools else max(0.0, total - need.mean)
+    weights, need = problem.weights, problem.demands_by_pool[pool]
+    idle = 0.0 if pool in problem.spare_pools else max(0.0, total - need.mean_workers)
     # Relative to one worker at a time, so that pools of any size compare.
     size = max(1, problem.sizes_by_pool[pool])
     rounds = math.ceil(total / wave) / size if wave else 2.0
-    short = max(0.0, need.surge - (total - wave)) / need.surge if need.surge else 0.0
+    short = (
+        max(0.0, need.burst_workers - (total - wave)) / need.burst_workers
+        if need.burst_workers
+        else 0.0
+    )
     pools = len(problem.counts)
     return (
         weights.buffer_cost * idle / problem.fleet_size
@@ -180,29 +186,29 @@
     )
 
 
-def best_wave(
+def find_best_wave(
     problem: SizingProblem, pool: str, counts_by_zone: dict[str, int]
 ) -> tuple[float, int]:
     """Return the lowest cost of a pool of these workers and its wave size."""
     counts = tuple(sorted(filter(None, counts_by_zone.values())))
-    limit = wave_limit(counts, problem.min_healthy_by_pool[pool])
+    limit = compute_wave_limit(counts, problem.min_healthy_by_pool[pool])
     key = (pool, sum(counts), limit)
-    known = problem.best_waves.get(key)
+    known = problem.best_wave_cache.get(key)
     if known is None:
-        known = problem.best_waves[key] = min(
-            (pool_cost(problem, pool, sum(counts), wave), wave)
+        known = problem.best_wave_cache[key] = min(
+            (compute_pool_cost(problem, pool, sum(counts), wave), wave)
             for wave in (range(1, limit + 1) if limit else (0,))
         )
     return known
 
 
-def cost_of(
+def compute_cost(
     problem: SizingProblem, counts: dict[str, dict[str, int]], waves: dict[str, int]
 ) -> float:
     """Return the weighted cost of a decision."""
     cost, moves = 0.0, 0
     for pool, zones in counts.items():
         before = problem.counts[pool]
-        cost += pool_cost(problem, pool, sum(zones.values()), waves[pool])
+        cost += compute_pool_cost(problem, pool, sum(zones.values()), waves[pool])
         moves += sum(max(0, n - before.get(zone, 0)) for zone, n in zones.items())
     return cost + problem.move_cost * moves
--- a/src/cranberrywheel/process/configuration_writer.py
+++ b/src/cranberrywheel/process/configuration_writer.py
@@ -198,7 +198,7 @@
         except CranberrywheelError as error:
             settle(message.result, error=error)
             return
-        self._peers.add_mark(message.key_id)
+        self._peers.add_tombstone(message.key_id)
         self._mark_due_ms_by_id[message.key_id] = now_ms
         deadline_ms = now_ms + self._settings.key_freshness_ms
         self._withdrawals.append(_Withdrawal(message, now_ms, deadline_ms))
@@ -236,7 +236,7 @@
             self._answer_withdrawals(now_ms)
 
     def _start_mark_write(self, now_ms: int) -> None:
-        marks = self._peers.unwritten_marks()
+        marks = self._peers.list_unwritten_tombstones()
         for key_id in marks - self._mark_due_ms_by_id.keys():
             delay_ms = self._random.randint(*MARK_DELAY_MS)
             self._mark_due_ms_by_id[key_id] = now_ms + delay_ms
@@ -333,9 +333,9 @@
         for withdrawal in list(self._withdrawals):
             key_id = withdrawal.message.key_id
             stored = snapshot is not None and key_id in snapshot.withdrawn_ids
-            confirmed, unconfirmed = self._peers.confirmations(key_id)
+            confirmed, unconfirmed = self._peers.list_confirmations(key_id)
             # An older roster may lack an entry that has the key.
-            known = self._peers.knows_roster_of(withdrawal.accepted_ms)
+            known = self._peers.has_roster_since(withdrawal.accepted_ms)
             complete = stored and known and not unconfirmed
             if complete or now_ms >= withdrawal.deadline_ms:
                 self._withdrawals.remove(withdrawal)
--- a/src/cranberrywheel/process/dispatcher.py
+++ b/src/cranberrywheel/process/dispatcher.py
@@ -210,7 +210,7 @@
             for team in self._state.fleet.shares_by_team
         }
         self._state.links.to_peers(
-            self._state.fleet.load_report(
+            self._state.fleet.build_load_report(
                 {
                     s: q.queued_by_team()
                     for s, q in self._state.queues_by_service.items()
@@ -239,8 +239,8 @@
                 team: self._state.ledger.idle(team, now_ms)
                 for team in self._state.fleet.shares_by_team
             },
-            "peers": self._state.fleet.peer_ids(),
-            "pools": self._state.fleet.pool_status(),
+            "peers": self._state.fleet.list_peer_ids(),
+            "pools": self._state.fleet.build_pool_status(),
             "stopping": self._stopping is not None,
         }
 
--- a/src/cranberrywheel/process/disruptions.py
+++ b/src/cranberrywheel/process/disruptions.py
@@ -2,7 +2,7 @@
 
 import typing as t
 
-from cranberrywheel.process.fleet_model import services_by_pool
+from cranberrywheel.process.fleet_model import group_services_by_pool
 from cranberrywheel.process.record_store import RecordStore
 from cranberrywheel.version.configuration import Configuration
 from cranberrywheel.version.records import StoredRecord
@@ -47,7 +47,7 @@
             service: {n for n in names if n not in {*removed, *out_pools_by_name}}
             for service, names in present.items()
         }
-        names_by_pool = services_by_pool(configuration)
+        names_by_pool = group_services_by_pool(configuration)
         for name, pool in out_pools_by_name.items():
             for service in names_by_pool.get(pool, ()):
                 out.setdefault(service, set()).add(name)
--- a/src/cranberrywheel/process/exchange.py
+++ b/src/cranberrywheel/process/exchange.py
@@ -123,7 +123,7 @@
             self._membership.set_roster(registrations)
             self._roster_read_ms = read_ms
 
-    def knows_roster_of(self, at_ms: int) -> bool:
+    def has_roster_since(self, at_ms: int) -> bool:
         """Tell whether the roster was read from the store at or after a time."""
         with self._lock:
             return self._roster_read_ms is not None and self._roster_read_ms >= at_ms
@@ -133,7 +133,7 @@
         with self._lock:
             self._membership.set_instances(listed)
 
-    def store_read(self, taken_ms: int) -> None:
+    def record_store_read(self, taken_ms: int) -> None:
         """Note that the configuration was read from the store and adopted.
 
         :param taken_ms: own clock reading before the read was sent.
@@ -166,7 +166,7 @@
         bound_ms = self._settings.key_freshness_ms
         return age_ms is None or age_ms >= bound_ms * STORE_DOWN_FRACTION
 
-    def add_mark(self, key_id: str) -> None:
+    def add_tombstone(self, key_id: str) -> None:
         """Take a withdrawal that may not be in the store yet."""
         snapshot = self.holder.snapshot
         with self._lock:
@@ -178,7 +178,7 @@
             self._to_dispatcher(MarkWithdrawn(key_id))
         _log.event("marked key as withdrawn", key_id=key_id)
 
-    def unwritten_marks(self) -> set[str]:
+    def list_unwritten_tombstones(self) -> set[str]:
         """Return withdrawals that are not known to be in the store."""
         snapshot = self.holder.snapshot
         with self._lock:
@@ -186,7 +186,7 @@
                 self._marks -= snapshot.withdrawn_ids
             return set(self._marks)
 
-    def confirmations(self, key_id: str) -> tuple[list[str], list[str]]:
+    def list_confirmations(self, key_id: str) -> tuple[list[str], list[str]]:
         """Return which entries are known to refuse a withdrawn key.
 
         :returns: process ids that confirmed, this one first, and all others.
@@ -209,7 +209,7 @@
                 (confirmed if known else unconfirmed).append(peer.process_id)
         return confirmed, unconfirmed
 
-    def seen_ids(self) -> set[str]:
+    def list_recent_peer_ids(self) -> set[str]:
         """Return the peers that sent a message lately."""
         with self._lock:
             return set(self._seen_ms_by_id)
@@ -234,8 +234,10 @@
             # the version and the marks can only be newer than the proof.
             proof_age_ms = self._proof.age_ms(now_ms)
             read_age_ms = self._store_read.age_ms(now_ms)
-            heard = self._membership.heard_ms_by_id() if self._is_store_down() else {}
-            marks = self.unwritten_marks()
+            heard = (
+                self._membership.last_report_ms_by_id() if self._is_store_down() else {}
+            )
+            marks = self.list_unwritten_tombstones()
             own, load = self.registration, self._load
             state = PeerState(
                 process_id=own.process_id,
@@ -276,7 +278,7 @@
         if state.process_id == self.process_id:
             return True
         for mark in state.marks:
-            self.add_mark(mark.key_id)
+            self.add_tombstone(mark.key_id)
         instance = state.process_id[len(state.zone) + 1 :].rpartition(".")[0]
         peer = Registration(
             state.process_id,
@@ -306,13 +308,13 @@
                     self._membership.heard(word.process_id, sent_ms - word.age_ms)
             if state.has_store_read:
                 self._store_read.proven(sent_ms - state.store_read_age_ms)
-            all_heard_ms = None
+            known_until_ms = None
             if self._is_store_down():
-                all_heard_ms = self._membership.all_heard_ms()
+                known_until_ms = self._membership.known_until_ms()
         if state.has_proof:
             self._prove(sent_ms - state.proof_age_ms)
-        if all_heard_ms is not None:
-            self._prove(all_heard_ms)
+        if known_until_ms is not None:
+            self._prove(known_until_ms)
 
     @staticmethod
     def _report(state: PeerState) -> PeerReport:
@@ -341,14 +343,14 @@
         except StoreError as error:
             raise PeerError(error.message, "Check the peer's version.") from None
 
-    def record_for_peer(self, newer_than: int) -> ConfigurationRecord:
+    def get_newer_record(self, newer_than: int) -> ConfigurationRecord:
         """Return the adopted record, empty if it is not newer."""
         record = self.holder.record
         if record is None or record.revision <= newer_than:
             return ConfigurationRecord()
         return ConfigurationRecord(version=record.revision, record_json=record.value)
 
-    def drop_silent_peers(self) -> None:
+    def drop_unresponsive_peers(self) -> None:
         """Report peers as lost that sent nothing for several exchanges."""
         settings, now_ms = self._settings, self._clock.now_ms()
         with self._lock:
--- a/src/cranberrywheel/process/fleet_model.py
+++ b/src/cranberrywheel/process/fleet_model.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class PoolRow:
+class InstanceAssignment:
     """One instance of a ``pools/<zone>`` record.
 
     :param target_pool: pool that a recorded move leads to, or ``""``.
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class ZonePools:
+class ZonePoolsRecord:
     """Body of a ``pools/<zone>`` record.
 
     :param fence: fencing number of the planner that wrote it.
@@ -47,27 +47,32 @@
     """
 
     fence: int
-    rows_by_name: dict[str, PoolRow]
+    assignments_by_name: dict[str, InstanceAssignment]
     maintained_ms_by_name: dict[str, int] = dataclasses.field(default_factory=dict)
 
-    def replace_row(self, name: str, row: PoolRow) -> "ZonePools":
+    def replace_assignment(
+        self, name: str, assignment: InstanceAssignment
+    ) -> "ZonePoolsRecord":
         """Return a copy in which one instance has another row."""
-        rows = {**self.rows_by_name, name: row}
-        return dataclasses.replace(self, rows_by_name=rows)
+        assignments = {**self.assignments_by_name, name: assignment}
+        return dataclasses.replace(self, assignments_by_name=assignments)
 
 
-def parse_zone_pools(body: t.Mapping[str, t.Any]) -> ZonePools:
+def parse_zone_pools(body: t.Mapping[str, t.Any]) -> ZonePoolsRecord:
     """Read the body of a ``pools/<zone>`` record.
 
     :param body: the decoded JSON body.
     :raises StoreError: if it has another form.
     """
     try:
-        rows = {name: _parse_row(row) for name, row in body["instances"].items()}
+        assignments = {
+            name: _parse_assignment(assignment)
+            for name, assignment in body["instances"].items()
+        }
         maintained = {n: int(v) for n, v in body.get("maintained", {}).items()}
-        return ZonePools(
+        return ZonePoolsRecord(
             fence=int(body["fence"]),
-            rows_by_name=rows,
+            assignments_by_name=assignments,
             maintained_ms_by_name=maintained,
         )
     except (AttributeError, KeyError, TypeError, ValueError) as error:
@@ -76,50 +81,54 @@
         ) from None
 
 
-def _parse_row(row: t.Mapping[str, t.Any]) -> PoolRow:
-    return PoolRow(
-        pool=str(row["pool"]),
-        state=InstanceState(row["state"]),
-        target_pool=str(row.get("target_pool") or ""),
-        since_ms=int(row["since"]),
+def _parse_assignment(assignment: t.Mapping[str, t.Any]) -> InstanceAssignment:
+    return InstanceAssignment(
+        pool=str(assignment["pool"]),
+        state=InstanceState(assignment["state"]),
+        target_pool=str(assignment.get("target_pool") or ""),
+        since_ms=int(assignment["since"]),
     )
 
 
-def dump_zone_pools(pools: ZonePools) -> dict[str, t.Any]:
+def dump_zone_pools(pools: ZonePoolsRecord) -> dict[str, t.Any]:
     """Return the JSON-ready body of a ``pools/<zone>`` record."""
     return {
         "fence": pools.fence,
         "instances": {
             name: {
-                "pool": row.pool,
-                "state": str(row.state),
-                "target_pool": row.target_pool,
-                "since": row.since_ms,
+                "pool": assignment.pool,
+                "state": str(assignment.state),
+                "target_pool": assignment.target_pool,
+                "since": assignment.since_ms,
             }
-            for name, row in pools.rows_by_name.items()
+            for name, assignment in pools.assignments_by_name.items()
         },
         "maintained": dict(pools.maintained_ms_by_name),
     }
 
 
-def seed_zone_pools(
+def add_declared_workers(
     configuration: Configuration,
     zone: str,
-    known: ZonePools | None,
+    known: ZonePoolsRecord | None,
     fence: int,
     now_ms: int,
-) -> ZonePools:
+) -> ZonePoolsRecord:
     """Add the declared workers of a zone that its record lacks.
 
     :param known: the present record, or ``None``; its rows keep their pools.
     :param fence: fencing number to write.
     """
-    rows = dict(known.rows_by_name) if known else {}
+    assignments = dict(known.assignments_by_name) if known else {}
     for worker in configuration.workers_by_name.values():
-        if worker.zone == zone and worker.name not in rows:
-            rows[worker.name] = PoolRow(pool=worker.pool, since_ms=now_ms)
+        if worker.zone == zone and worker.name not in assignments:
+            assignments[worker.name] = InstanceAssignment(
+                pool=worker.pool, since_ms=now_ms
+            )
     maintained = dict(known.maintained_ms_by_name) if known else {}
-    return ZonePools(fence=fence, rows_by_name=rows, maintained_ms_by_name=maintained)
+    return ZonePoolsRecord(
+        fence=fence, assignments_by_name=assignments, maintained_ms_by_name=maintained
+    )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -165,7 +174,7 @@
     name: str
     zone: str
     rack: str
-    row: PoolRow
+    assignment: InstanceAssignment
     live: bool
     maintained_ms: int = 0
     report: WorkerReport = WorkerReport()
@@ -173,7 +182,7 @@
     @property
     def pool(self) -> str:
         """Pool that the instance is in."""
-        return self.row.pool
+        return self.assignment.pool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -193,7 +202,7 @@
 
 def build_fleet(
     configuration: Configuration,
-    pools_by_zone: t.Mapping[str, ZonePools],
+    pools_by_zone: t.Mapping[str, ZonePoolsRecord],
     listed: InstanceList,
     now_ms: int,
     reports_by_name: t.Mapping[str, WorkerReport] | None = None,
@@ -210,8 +219,8 @@
     instances = {}
     for zone in configuration.regions_by_zone:
         known = pools_by_zone.get(zone)
-        pools = known or seed_zone_pools(configuration, zone, None, 0, now_ms)
-        for name, row in pools.rows_by_name.items():
+        pools = known or add_declared_workers(configuration, zone, None, 0, now_ms)
+        for name, assignment in pools.assignments_by_name.items():
             listing = listed_by_name.get(name)
             declared = configuration.workers_by_name.get(name)
             rack = declared.rack if declared else listing.rack if listing else ""
@@ -219,7 +228,7 @@
                 name=name,
                 zone=zone,
                 rack=rack,
-                row=row,
+                assignment=assignment,
                 live=listing is not None and not listing.leaving,
                 maintained_ms=pools.maintained_ms_by_name.get(name, 0),
                 report=reports.get(name, WorkerReport()),
@@ -233,7 +242,7 @@
     )
 
 
-def services_by_pool(configuration: Configuration) -> dict[str, list[str]]:
+def group_services_by_pool(configuration: Configuration) -> dict[str, list[str]]:
     """Return the names of the services of each pool."""
     names: dict[str, list[str]] = {pool: [] for pool in configuration.pools_by_name}
     for service in configuration.services_by_name.values():
@@ -241,7 +250,7 @@
     return names
 
 
-def dependency_pools(configuration: Configuration) -> dict[str, frozenset[str]]:
+def find_dependency_pools(configuration: Configuration) -> dict[str, frozenset[str]]:
     """Return, for each pool, the other pools that its services need, transitively."""
     services = configuration.services_by_name
     needed: dict[str, frozenset[str]] = {}
@@ -255,7 +264,7 @@
         return needed[name]
 
     pools = {}
-    for pool, names in services_by_pool(configuration).items():
+    for pool, names in group_services_by_pool(configuration).items():
         pools[pool] = frozenset().union(*map(collect, names)) - {pool}
     return pools
 
--- a/src/cranberrywheel/process/fleet_view.py
+++ b/src/cranberrywheel/process/fleet_view.py
@@ -77,7 +77,7 @@
         self._refused_as_leaving.clear()
         self._refresh_workers()
 
-    def add_leaving(self, worker: str) -> None:
+    def mark_leaving(self, worker: str) -> None:
         """Note that a worker refused a start because it drains."""
         self._refused_as_leaving.add(worker)
         self._set_leaving()
@@ -174,7 +174,7 @@
         report = self._peers_by_id.get(process_id)
         return report.peer_address if report else ""
 
-    def take_idle_unit(self, team: str) -> str:
+    def reserve_idle_unit(self, team: str) -> str:
         """Find a peer with an idle unit of a team and count the unit as used.
 
         :returns: the peer's address, or ``""`` if no peer reported one.
@@ -189,17 +189,17 @@
         self._idle_units[key] -= 1
         return self.peer_address(key[0])
 
-    def peer_ids(self) -> list[str]:
+    def list_peer_ids(self) -> list[str]:
         """Return the ids of all peers that are heard."""
         return sorted(self._peers_by_id)
 
-    def count_started(self, team: str, service: str) -> None:
+    def count_task_start(self, team: str, service: str) -> None:
         """Count a running task of this process."""
         key = (team, service)
         self._own_use[key] = self._own_use.get(key, 0) + 1
         self.use_by_team[team] = self.use_by_team.get(team, 0) + 1
 
-    def count_ended(self, team: str, service: str) -> None:
+    def count_task_end(self, team: str, service: str) -> None:
         """Count the end of a task of this process."""
         key = (team, service)
         self._own_use[key] = self._own_use.get(key, 0) - 1
@@ -214,7 +214,7 @@
                 use[load.team] = use.get(load.team, 0) + load.running
         self.use_by_team = use
 
-    def slots_of_pool(self, pool: str) -> int:
+    def count_serving_slots(self, pool: str) -> int:
         """Return the slots of a pool's serving workers."""
         return self._slots_by_pool.get(pool, 0)
 
@@ -225,7 +225,7 @@
             "instance_list": dataclasses.asdict(self._listed),
         }
 
-    def pool_status(self) -> dict[str, t.Any]:
+    def build_pool_status(self) -> dict[str, t.Any]:
         """Return workers per pool and state, JSON-ready."""
         status: dict[str, dict[str, int]] = {}
         if self._configuration is not None:
@@ -236,7 +236,7 @@
                 states[state] = states.get(state, 0) + 1
         return status
 
-    def load_report(
+    def build_load_report(
         self,
         queued_by_service: t.Mapping[str, t.Mapping[str, int]],
         idle_units_by_team: t.Mapping[str, int],
--- a/src/cranberrywheel/process/moves.py
+++ b/src/cranberrywheel/process/instance_lifecycle.py
@@ -12,8 +12,8 @@
 from cranberrywheel.process.fleet_model import (
     Fleet,
     FleetInstance,
+    InstanceAssignment,
     InstanceState,
-    PoolRow,
     Sizing,
     WorkerReport,
 )
@@ -27,7 +27,7 @@
     REBOOT = "reboot"
 
 
-def action_of(state: InstanceState) -> PlatformAction:
+def get_platform_action(state: InstanceState) -> PlatformAction:
     """Return the platform's action that makes a recorded state true.
 
     Repeating it does no harm; a second reboot costs only time, because the instance
@@ -40,34 +40,44 @@
     return PlatformAction.DRAIN
 
 
-def begin_drain(row: PoolRow, target_pool: str, now_ms: int) -> PoolRow:
+def begin_drain(
+    assignment: InstanceAssignment, target_pool: str, now_ms: int
+) -> InstanceAssignment:
     """Start maintenance, or a move if ``target_pool`` is not empty."""
     return dataclasses.replace(
-        row,
+        assignment,
         state=InstanceState.DRAINING,
         target_pool=target_pool,
         since_ms=now_ms,
     )
 
 
-def recall(row: PoolRow, now_ms: int) -> PoolRow:
+def recall(assignment: InstanceAssignment, now_ms: int) -> InstanceAssignment:
     """Return a drained instance to its present pool."""
-    return PoolRow(pool=row.pool, since_ms=now_ms)
+    return InstanceAssignment(pool=assignment.pool, since_ms=now_ms)
 
 
-def quarantine(row: PoolRow, now_ms: int) -> PoolRow:
+def quarantine(assignment: InstanceAssignment, now_ms: int) -> InstanceAssignment:
     """Take a worker that fails everything out of its pool's service."""
-    return PoolRow(pool=row.pool, state=InstanceState.QUARANTINED, since_ms=now_ms)
+    return InstanceAssignment(
+        pool=assignment.pool, state=InstanceState.QUARANTINED, since_ms=now_ms
+    )
 
 
-def begin_repair(row: PoolRow, now_ms: int) -> PoolRow:
+def begin_repair(assignment: InstanceAssignment, now_ms: int) -> InstanceAssignment:
     """Reboot a quarantined instance."""
-    return PoolRow(pool=row.pool, state=InstanceState.REBOOTING, since_ms=now_ms)
+    return InstanceAssignment(
+        pool=assignment.pool, state=InstanceState.REBOOTING, since_ms=now_ms
+    )
 
 
 def advance(
-    row: PoolRow, report: WorkerReport, rebooted: bool, due: bool, now_ms: int
-) -> PoolRow | None:
+    assignment: InstanceAssignment,
+    report: WorkerReport,
+    rebooted: bool,
+    due: bool,
+    now_ms: int,
+) -> InstanceAssignment | None:
     """Return the next row of an instance that is out, or ``None`` to wait.
 
     :param report: the worker's answer, asked for after the state began.
@@ -77,19 +87,23 @@
     :param due: whether maintenance is due; a move then includes the reboot, which
         saves a second drain.
     """
-    if row.state is InstanceState.DRAINING:
+    if assignment.state is InstanceState.DRAINING:
         # Only the worker's own answer shows that no task runs.
         if report.reachable and report.running == 0:
-            return dataclasses.replace(row, state=InstanceState.EMPTY, since_ms=now_ms)
+            return dataclasses.replace(
+                assignment, state=InstanceState.EMPTY, since_ms=now_ms
+            )
         return None
-    if row.state is InstanceState.EMPTY:
-        pool = row.target_pool or row.pool
-        if pool != row.pool and not due:
-            return PoolRow(pool=pool, since_ms=now_ms)
-        return PoolRow(pool=pool, state=InstanceState.REBOOTING, since_ms=now_ms)
-    if row.state is InstanceState.REBOOTING:
+    if assignment.state is InstanceState.EMPTY:
+        pool = assignment.target_pool or assignment.pool
+        if pool != assignment.pool and not due:
+            return InstanceAssignment(pool=pool, since_ms=now_ms)
+        return InstanceAssignment(
+            pool=pool, state=InstanceState.REBOOTING, since_ms=now_ms
+        )
+    if assignment.state is InstanceState.REBOOTING:
         if rebooted and report.reachable:
-            return PoolRow(pool=row.pool, since_ms=now_ms)
+            return InstanceAssignment(pool=assignment.pool, since_ms=now_ms)
     return None
 
 
@@ -104,7 +118,8 @@
     :returns: pairs of instance and target pool, within each zone.
     """
     present: collections.Counter[tuple[str, str]] = collections.Counter(
-        (i.row.target_pool or i.pool, i.zone) for i in fleet.instances_by_name.values()
+        (i.assignment.target_pool or i.pool, i.zone)
+        for i in fleet.instances_by_name.values()
     )
     wanted = {
         (pool, zone): count
--- a/src/cranberrywheel/process/membership.py
+++ b/src/cranberrywheel/process/membership.py
@@ -15,7 +15,7 @@
 from cranberrywheel.settings import EntrySettings
 
 ENTRIES_PREFIX = "entries/"
-Place = tuple[str, str, str]
+Location = tuple[str, str, str]
 
 
 def new_process_id(settings: EntrySettings) -> str:
@@ -60,7 +60,7 @@
     revision: int = 0
 
     @property
-    def place(self) -> Place:
+    def place(self) -> Location:
         """Instance, zone and address; only one process can be there."""
         return self.instance, self.zone, self.peer_address
 
@@ -78,11 +78,11 @@
         )
 
 
-def group_by_place(
+def group_by_location(
     registrations: t.Iterable[Registration],
-) -> dict[Place, list[Registration]]:
+) -> dict[Location, list[Registration]]:
     """Group registrations by the place of their process."""
-    groups: dict[Place, list[Registration]] = {}
+    groups: dict[Location, list[Registration]] = {}
     for registration in registrations:
         groups.setdefault(registration.place, []).append(registration)
     return groups
@@ -189,7 +189,7 @@
         if at_ms > self._heard_ms_by_id.get(process_id, -1):
             self._heard_ms_by_id[process_id] = at_ms
 
-    def heard_ms_by_id(self) -> dict[str, int]:
+    def last_report_ms_by_id(self) -> dict[str, int]:
         """Return the time of the newest message of each process."""
         return dict(self._heard_ms_by_id)
 
@@ -197,7 +197,7 @@
         """Return all other processes that may be alive."""
         known = {**self._learned_by_id, **(self._roster_by_id or {})}
         known.pop(self._process_id, None)
-        groups = group_by_place(known.values())
+        groups = group_by_location(known.values())
         return [r for r in known.values() if not self._is_gone(r, groups[r.place])]
 
     def _is_gone(
@@ -210,7 +210,7 @@
             for other in same_place
         )
 
-    def all_heard_ms(self) -> int | None:
+    def known_until_ms(self) -> int | None:
         """Return up to when the knowledge of all registered entries is here.
 
         :returns: own clock reading, or ``None`` if the roster is not known or a
@@ -244,7 +244,7 @@
         registered = {r.process_id for r in registrations}
         newest = {
             place: max(group, key=lambda r: r.revision)
-            for place, group in group_by_place(registrations).items()
+            for place, group in group_by_location(registrations).items()
         }
         seen: dict[tuple[str, int], Absence] = {}
         for record in records:
--- a/src/cranberrywheel/process/peer_service.py
+++ b/src/cranberrywheel/process/peer_service.py
@@ -101,7 +101,7 @@
 
     async def FetchConfiguration(self, stream: t.Any) -> None:
         request = await self._receive("FetchConfiguration", stream)
-        await stream.send_message(self._exchange.record_for_peer(request.newer_than))
+        await stream.send_message(self._exchange.get_newer_record(request.newer_than))
 
     async def Forward(self, stream: t.Any) -> None:
         message = await self._receive("Forward", stream)
@@ -144,7 +144,7 @@
         except PeerError as error:
             raise self._refuse("HandOver", error) from None
         for mark in message.marks:
-            self._exchange.add_mark(mark.key_id)
+            self._exchange.add_tombstone(mark.key_id)
         export = TicketExport(forgotten_ms=message.forgotten_ms, results=results)
         self._import_results(message.process_id, export)
         await stream.send_message(peer_pb2.HandOverAnswer(accepted=len(results)))
@@ -256,7 +256,7 @@
         message.forgotten_ms = export.forgotten_ms
         for ticket, answer in export.results:
             message.results.add(ticket=ticket, answer=encode_answer(answer))
-        for key_id in self._exchange.unwritten_marks():
+        for key_id in self._exchange.list_unwritten_tombstones():
             message.marks.add(key_id=key_id)
         return self._submit(self._hand_over(peer_address, message))
 
@@ -304,7 +304,7 @@
                 task = asyncio.ensure_future(self._exchange_with(address))
                 self._exchanges.add(task)
                 task.add_done_callback(self._exchanges.discard)
-            self._exchange.drop_silent_peers()
+            self._exchange.drop_unresponsive_peers()
             await asyncio.sleep(self._settings.exchange_interval_ms / 1000)
 
     def _choose_addresses(self) -> list[str]:
--- a/src/cranberrywheel/process/placement.py
+++ b/src/cranberrywheel/process/placement.py
@@ -92,7 +92,7 @@
             self._state.tickets.started(request.ticket)
         pending.task_id = task_id
         pending.attempts += 1
-        self._state.fleet.count_started(request.team, request.service)
+        self._state.fleet.count_task_start(request.team, request.service)
         self._state.metrics.timing("start_wait_ms", now_ms - request.arrived_ms)
         _log.event(
             "routed request",
@@ -109,7 +109,7 @@
     def _attempt_ended(self, result: AttemptResult) -> None:
         request = result.attempt.request
         if result.last:
-            self._state.fleet.count_ended(request.team, request.service)
+            self._state.fleet.count_task_end(request.team, request.service)
         if result.end is AttemptEnd.RAN:
             self._state.estimates.record(
                 request.queue,
@@ -225,7 +225,7 @@
             pending.tried_workers.add(result.attempt.worker.name)
             pending.avoided_racks.add(result.attempt.worker.rack)
         if result.kind == "draining":
-            self._state.fleet.add_leaving(result.attempt.worker.name)
+            self._state.fleet.mark_leaving(result.attempt.worker.name)
         self._state.metrics.count("retries")
         _log.event(
             "will retry request",
--- a/src/cranberrywheel/process/planner.py
+++ b/src/cranberrywheel/process/planner.py
@@ -21,14 +21,14 @@
     StoreUnavailableError,
 )
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.process import moves
+from cranberrywheel.process import instance_lifecycle
 from cranberrywheel.process.capacity import build_problem
 from cranberrywheel.process.disruptions import Disruptions
 from cranberrywheel.process.fleet_model import (
     Fleet,
+    InstanceAssignment,
     InstanceState,
     Plan,
-    PoolRow,
     Sizing,
     WorkerReport,
     build_fleet,
@@ -36,7 +36,7 @@
 )
 from cranberrywheel.process.record_store import RecordStore
 from cranberrywheel.process.size_search import choose_sizes
-from cranberrywheel.process.waves import is_due, plan_round
+from cranberrywheel.process.waves import is_maintenance_due, plan_round
 from cranberrywheel.process.worker_reports import (
     TaskRow,
     UsageBook,
@@ -183,10 +183,11 @@
     def _finish_steps(self, configuration: Configuration) -> None:
         """Advance the instances of the zone that are out."""
         out = {
-            name: row
-            for name, row in self._zone.pools.rows_by_name.items()
-            if row.state not in (InstanceState.SERVING, InstanceState.QUARANTINED)
-            and self._zone.confirmed_for_ms(name) is not None
+            name: assignment
+            for name, assignment in self._zone.pools.assignments_by_name.items()
+            if assignment.state
+            not in (InstanceState.SERVING, InstanceState.QUARANTINED)
+            and self._zone.confirmation_age_ms(name) is not None
         }
         if not out:
             return
@@ -194,8 +195,10 @@
             self._listed = self._client.instances()
         tasks_by_name = self._ask(out)
         changes = {}
-        for name, row in out.items():
-            after = self._advance(configuration, name, row, tasks_by_name.get(name))
+        for name, assignment in out.items():
+            after = self._advance(
+                configuration, name, assignment, tasks_by_name.get(name)
+            )
             if after:
                 changes[name] = after
         self._zone.change(changes)
@@ -208,27 +211,30 @@
         self,
         configuration: Configuration,
         name: str,
-        row: PoolRow,
+        assignment: InstanceAssignment,
         tasks: tuple[TaskRow, ...] | None,
-    ) -> PoolRow | None:
-        if row.target_pool and row.target_pool not in configuration.pools_by_name:
-            return moves.recall(row, self._now_wall_ms())
+    ) -> InstanceAssignment | None:
+        if (
+            assignment.target_pool
+            and assignment.target_pool not in configuration.pools_by_name
+        ):
+            return instance_lifecycle.recall(assignment, self._now_wall_ms())
         declared = name in configuration.workers_by_name
-        if row.state is InstanceState.EMPTY and not declared:
+        if assignment.state is InstanceState.EMPTY and not declared:
             return None
-        if row.state is InstanceState.DRAINING:
+        if assignment.state is InstanceState.DRAINING:
             self._checkpoint(configuration, name, tasks or ())
-        if row.state is InstanceState.REBOOTING and tasks is None:
+        if assignment.state is InstanceState.REBOOTING and tasks is None:
             self._silent.add(name)
-        asked_ms = self._zone.confirmed_for_ms(name) or 0
+        asked_ms = self._zone.confirmation_age_ms(name) or 0
         rebooted = (
             name in self._silent or asked_ms >= configuration.reboot_minutes * 60_000
         )
         now_ms = self._now_wall_ms()
         maintained_ms = self._zone.pools.maintained_ms_by_name.get(name, 0)
-        due = is_due(configuration, maintained_ms, now_ms)
+        due = is_maintenance_due(configuration, maintained_ms, now_ms)
         report = report_of(configuration, tasks)
-        return moves.advance(row, report, rebooted, due, now_ms)
+        return instance_lifecycle.advance(assignment, report, rebooted, due, now_ms)
 
     def _checkpoint(
         self, configuration: Configuration, name: str, tasks: tuple[TaskRow, ...]
@@ -252,10 +258,14 @@
     ) -> None:
         """Make ``disruptions`` agree with the zone's record."""
         self._disruptions.read()
-        rows = self._zone.pools.rows_by_name
-        out = {n: r.pool for n, r in rows.items() if r.state != InstanceState.SERVING}
+        assignments = self._zone.pools.assignments_by_name
+        out = {
+            n: r.pool
+            for n, r in assignments.items()
+            if r.state != InstanceState.SERVING
+        }
         self._lease.check()
-        self._disruptions.change(configuration, out, removed={*rows, *dropped})
+        self._disruptions.change(configuration, out, removed={*assignments, *dropped})
 
     def _start_steps(self, configuration: Configuration) -> None:
         """Plan, claim the budget and start the part of the plan in this zone."""
@@ -276,7 +286,7 @@
         )
         self.plan = plan
         claimed = {
-            name: self._zone.pools.rows_by_name[name].pool
+            name: self._zone.pools.assignments_by_name[name].pool
             for name in (*plan.take, *plan.quarantine)
         }
         if claimed:
@@ -288,18 +298,20 @@
         self._publish(fleet.now_ms)
         self._send_metrics(plan)
 
-    def _changes_of(self, plan: Plan) -> dict[str, PoolRow | None]:
-        rows = self._zone.pools.rows_by_name
+    def _changes_of(self, plan: Plan) -> dict[str, InstanceAssignment | None]:
+        assignments = self._zone.pools.assignments_by_name
         now_ms = self._now_wall_ms()
-        changes: dict[str, PoolRow | None] = dict.fromkeys(plan.drop)
+        changes: dict[str, InstanceAssignment | None] = dict.fromkeys(plan.drop)
         for name in plan.recall:
-            changes[name] = moves.recall(rows[name], now_ms)
+            changes[name] = instance_lifecycle.recall(assignments[name], now_ms)
         for name in plan.repair:
-            changes[name] = moves.begin_repair(rows[name], now_ms)
+            changes[name] = instance_lifecycle.begin_repair(assignments[name], now_ms)
         for name in plan.quarantine:
-            changes[name] = moves.quarantine(rows[name], now_ms)
+            changes[name] = instance_lifecycle.quarantine(assignments[name], now_ms)
         for name, target in plan.take.items():
-            changes[name] = moves.begin_drain(rows[name], target, now_ms)
+            changes[name] = instance_lifecycle.begin_drain(
+                assignments[name], target, now_ms
+            )
         return changes
 
     def _send_metrics(self, plan: Plan) -> None:
@@ -316,7 +328,7 @@
         stored_by_zone = self._records.read_all("pools/")
         usage = self._records.read_all("usage/")
         self._listed = self._client.instances()
-        tasks_by_name = self._ask(self._zone.pools.rows_by_name)
+        tasks_by_name = self._ask(self._zone.pools.assignments_by_name)
         if self._clock.now_ms() >= self._next_sample_ms:
             self._usage.sample(tasks_by_name)
             self._next_sample_ms = self._clock.now_ms() + SAMPLE_INTERVAL_MS
--- a/src/cranberrywheel/process/record_writer.py
+++ b/src/cranberrywheel/process/record_writer.py
@@ -63,7 +63,7 @@
         self._writer = writer
         self._lost_by_key: dict[str, PreparedWrite] = {}
 
-    def is_lost(self, key: str) -> bool:
+    def has_unresolved_write(self, key: str) -> bool:
         """Tell whether the last write of a record has an unknown outcome."""
         return key in self._lost_by_key
 
--- a/src/cranberrywheel/process/relief.py
+++ b/src/cranberrywheel/process/relief.py
@@ -77,7 +77,7 @@
         ):
             continue
         queue = state.queues_by_service[request.service]
-        peer = state.fleet.take_idle_unit(request.team)
+        peer = state.fleet.reserve_idle_unit(request.team)
         if peer and queue.remove(request.request_id):
             for waiter in state.pending.remove(pending):
                 flow.forward(peer, waiter)
--- a/src/cranberrywheel/process/request_flow.py
+++ b/src/cranberrywheel/process/request_flow.py
@@ -170,7 +170,8 @@
         found = self._state.snapshot.configuration.queues_by_name[request.queue]
         pool = self._state.snapshot.configuration.pool_of_queue(request.queue)
         slots = (
-            self._state.fleet.slots_of_pool(pool.name) // self._state.fleet.entry_count
+            self._state.fleet.count_serving_slots(pool.name)
+            // self._state.fleet.entry_count
         )
         queued = self._state.queues_by_service[request.service].ahead_of(
             request.team,
--- a/src/cranberrywheel/process/size_search.py
+++ b/src/cranberrywheel/process/size_search.py
@@ -8,7 +8,7 @@
 import operator
 import typing as t
 
-from cranberrywheel.process.capacity import SizingProblem, best_wave, cost_of
+from cranberrywheel.process.capacity import SizingProblem, compute_cost, find_best_wave
 from cranberrywheel.process.fleet_model import Sizing
 
 #: Bounds the time of one decision. The best steps come first, and the next decision
@@ -70,7 +70,8 @@
         self.problem = problem
         self.counts = {pool: dict(zones) for pool, zones in problem.counts.items()}
         self.best = {
-            pool: best_wave(problem, pool, zones) for pool, zones in self.counts.items()
+            pool: find_best_wave(problem, pool, zones)
+            for pool, zones in self.counts.items()
         }
         zones = sorted({z for zones in self.counts.values() for z in zones})
         self._transfers = [(((z, -1),), ((z, 1),)) for z in zones]
@@ -99,7 +100,7 @@
             moves -= max(0, before - start.get(zone, 0))
         if any(by < 0 for _, by in deltas) and not self._is_robust(pool, zones):
             return None
-        cost = best_wave(self.problem, pool, zones)[0] - self.best[pool][0]
+        cost = find_best_wave(self.problem, pool, zones)[0] - self.best[pool][0]
         return cost + moves * self.problem.move_cost
 
     def _is_robust(self, pool: str, zones: dict[str, int]) -> bool:
@@ -116,7 +117,7 @@
             zones = self.counts[pool]
             for zone, by in deltas:
                 zones[zone] = zones.get(zone, 0) + by
-            self.best[pool] = best_wave(self.problem, pool, zones)
+            self.best[pool] = find_best_wave(self.problem, pool, zones)
             self._transfer_costs.forget(pool)
             self._swap_costs.forget(pool)
 
@@ -154,5 +155,5 @@
     return Sizing(
         counts=search.counts,
         wave_sizes_by_pool=waves,
-        cost=cost_of(problem, search.counts, waves),
+        cost=compute_cost(problem, search.counts, waves),
     )
--- a/src/cranberrywheel/process/store_reader.py
+++ b/src/cranberrywheel/process/store_reader.py
@@ -147,7 +147,7 @@
             except StoreError as error:
                 self._note_malformed(answer, error)
                 return
-        self._peers.store_read(taken_ms)
+        self._peers.record_store_read(taken_ms)
 
     def read_lists(self) -> None:
         """Read limits, roster, pools and instances, one call each.
--- a/src/cranberrywheel/process/unit_keeper.py
+++ b/src/cranberrywheel/process/unit_keeper.py
@@ -15,7 +15,7 @@
     ENTRIES_PREFIX,
     MissingHolders,
     Registration,
-    group_by_place,
+    group_by_location,
 )
 from cranberrywheel.process.messages import (
     ReleaseUnits,
@@ -105,7 +105,7 @@
                 _log.warning("ignored limit record", cause=error.message)
         self._registered_ids = {
             max(group, key=lambda r: r.revision).process_id
-            for group in group_by_place(registrations).values()
+            for group in group_by_location(registrations).values()
         }
         known = [s.record for s in self._states_by_team.values() if s.record]
         self._missing.observe(known, registrations, now_ms)
@@ -185,7 +185,7 @@
                 self._to_dispatcher(UnitsHeld(team, 0, 0))
 
     def _rejoin_team(self, key: str) -> None:
-        if self._writer.is_lost(key):
+        if self._writer.has_unresolved_write(key):
             self._writer.resolve(key)
         stored = self._writer.read(key)
         if stored is None:
@@ -228,7 +228,7 @@
                 _log.warning("could not keep units", team=team, cause=error.message)
 
     def _resolve(self, team: str) -> None:
-        if self._writer.is_lost(LIMITS_PREFIX + team):
+        if self._writer.has_unresolved_write(LIMITS_PREFIX + team):
             _, current = self._writer.resolve(LIMITS_PREFIX + team)
             if current is not None:
                 self._adopt(current, force=True)
@@ -281,7 +281,7 @@
             limit_units.Need(in_use, waiting),
             self._base(record),
             self._settings.long_fraction,
-            self._peers.seen_ids(),
+            self._peers.list_recent_peer_ids(),
         )
 
     def _base(self, record: LimitRecord) -> int:
@@ -364,7 +364,7 @@
         """Return all units at shutdown; units in use stay until reclaimed."""
         for team in list(self._states_by_team):
             key = LIMITS_PREFIX + team
-            if self._writer.is_lost(key):
+            if self._writer.has_unresolved_write(key):
                 self._writer.resolve(key)
             for _ in range(RETURN_ATTEMPTS):
                 try:
--- a/src/cranberrywheel/process/waves.py
+++ b/src/cranberrywheel/process/waves.py
@@ -5,7 +5,7 @@
 import typing as t
 
 from cranberrywheel.connection.store_client import InstanceList
-from cranberrywheel.process.budget import BudgetLedger, is_healthy, is_settling
+from cranberrywheel.process.budget import AvailabilityBudgets, is_healthy, is_settling
 from cranberrywheel.process.capacity import build_problem
 from cranberrywheel.process.fleet_model import (
     Fleet,
@@ -14,10 +14,10 @@
     Plan,
     Sizing,
     build_fleet,
-    dependency_pools,
+    find_dependency_pools,
     parse_zone_pools,
 )
-from cranberrywheel.process.moves import choose_transfers
+from cranberrywheel.process.instance_lifecycle import choose_transfers
 from cranberrywheel.process.size_search import choose_sizes
 from cranberrywheel.version.configuration import Configuration
 
@@ -36,7 +36,9 @@
     return configuration.maintenance_period_hours * 3_600_000
 
 
-def is_due(configuration: Configuration, maintained_ms: int, now_ms: int) -> bool:
+def is_maintenance_due(
+    configuration: Configuration, maintained_ms: int, now_ms: int
+) -> bool:
     """Tell whether maintenance of an instance is due.
 
     :param maintained_ms: end of its last maintenance, or 0.
@@ -60,7 +62,7 @@
         return "not live in the instance list"
     if not instance.report.reachable:
         return "does not answer"
-    return f"already {instance.row.state}"
+    return f"already {instance.assignment.state}"
 
 
 class _Round:
@@ -82,13 +84,13 @@
         self.fleet = fleet
         self.sizing = sizing
         out = {name for names in fleet.out_by_service.values() for name in names}
-        self.ledger = BudgetLedger(configuration, fleet, out)
+        self.ledger = AvailabilityBudgets(configuration, fleet, out)
         self.out_by_pool: collections.Counter[str] = collections.Counter()
         self.members_by_pool = collections.Counter(
             instance.pool for instance in fleet.instances_by_name.values()
         )
         for instance in fleet.instances_by_name.values():
-            planned = instance.name in out or instance.row.state not in (
+            planned = instance.name in out or instance.assignment.state not in (
                 InstanceState.SERVING,
                 InstanceState.QUARANTINED,
             )
@@ -108,7 +110,7 @@
         """Return drained instances to pools whose margin a failure used up."""
         names = []
         for instance in self.own:
-            waiting = instance.row.state in (
+            waiting = instance.assignment.state in (
                 InstanceState.DRAINING,
                 InstanceState.EMPTY,
             )
@@ -144,7 +146,7 @@
         """Choose quarantined instances that join the wave; they need no budget."""
         names = []
         for instance in self.own:
-            if instance.row.state is not InstanceState.QUARANTINED:
+            if instance.assignment.state is not InstanceState.QUARANTINED:
                 continue
             if self.fleet.now_ms - instance.maintained_ms < REPAIR_INTERVAL_MS:
                 self.waits[instance.name] = (
@@ -166,7 +168,7 @@
             (q.timeout_ms for q in self.configuration.queues_by_name.values()),
             default=0,
         )
-        return self.fleet.now_ms - instance.row.since_ms < longest_ms
+        return self.fleet.now_ms - instance.assignment.since_ms < longest_ms
 
     def take_removed(self) -> dict[str, str]:
         """Start to drain workers that left the configuration."""
@@ -187,7 +189,7 @@
             i.name
             for i in self.own
             if i.name not in declared
-            and (not i.live or i.row.state is InstanceState.EMPTY)
+            and (not i.live or i.assignment.state is InstanceState.EMPTY)
         )
 
     def take_transfers(self) -> dict[str, str]:
@@ -210,12 +212,14 @@
     def take_maintenance(self) -> dict[str, str]:
         """Start maintenance of due instances, dependencies first."""
         take = {}
-        now_ms, needed = self.fleet.now_ms, dependency_pools(self.configuration)
+        now_ms, needed = self.fleet.now_ms, find_dependency_pools(self.configuration)
         due = [
-            i for i in self.free if is_due(self.configuration, i.maintained_ms, now_ms)
+            i
+            for i in self.free
+            if is_maintenance_due(self.configuration, i.maintained_ms, now_ms)
         ]
         for instance in self.own:
-            if not is_healthy(instance) and is_due(
+            if not is_healthy(instance) and is_maintenance_due(
                 self.configuration, instance.maintained_ms, now_ms
             ):
                 self.waits.setdefault(instance.name, _why_unhealthy(instance))
@@ -255,9 +259,9 @@
         return Plan(
             sizing=self.sizing,
             wave={
-                instance.name: str(instance.row.state)
+                instance.name: str(instance.assignment.state)
                 for instance in self.own
-                if instance.row.state is not InstanceState.SERVING
+                if instance.assignment.state is not InstanceState.SERVING
             },
             take=take,
             quarantine=quarantine,
--- a/src/cranberrywheel/process/zone_record.py
+++ b/src/cranberrywheel/process/zone_record.py
@@ -11,14 +11,14 @@
     StoreUnavailableError,
 )
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.process import moves
+from cranberrywheel.process import instance_lifecycle
 from cranberrywheel.process.fleet_model import (
+    InstanceAssignment,
     InstanceState,
-    PoolRow,
-    ZonePools,
+    ZonePoolsRecord,
+    add_declared_workers,
     dump_zone_pools,
     parse_zone_pools,
-    seed_zone_pools,
 )
 from cranberrywheel.process.record_store import RecordStore
 from cranberrywheel.process.zone_lease import ZoneLease
@@ -54,7 +54,7 @@
         self._claimed_fence = 0
         #: Clock reading at which the platform confirmed the recorded state.
         self._confirmed_ms_by_name: dict[str, int] = {}
-        self.pools = ZonePools(fence=0, rows_by_name={})
+        self.pools = ZonePoolsRecord(fence=0, assignments_by_name={})
 
     def claim(self, configuration: Configuration, now_ms: int) -> bool:
         """Read the record, write the own fence into it and add new workers.
@@ -67,7 +67,7 @@
         fence = self._lease.fence
         if known and known.fence > fence:
             raise LeaseLostError("A later planner wrote the pools.", "Stand by.")
-        seeded = seed_zone_pools(configuration, self._zone, known, fence, now_ms)
+        seeded = add_declared_workers(configuration, self._zone, known, fence, now_ms)
         if seeded != known:
             self._write(seeded)
         self.pools = seeded
@@ -81,54 +81,56 @@
                 "acting for the zone",
                 zone=self._zone,
                 fence=fence,
-                instances=len(seeded.rows_by_name),
+                instances=len(seeded.assignments_by_name),
             )
         return is_first
 
-    def _write(self, pools: ZonePools) -> None:
+    def _write(self, pools: ZonePoolsRecord) -> None:
         self._lease.check()
         body = dump_zone_pools(pools)
         self._stored = self._records.write(self._key, body, self._stored)
         self.pools = pools
 
-    def change(self, rows_by_name: t.Mapping[str, PoolRow | None]) -> None:
+    def change(
+        self, assignments_by_name: t.Mapping[str, InstanceAssignment | None]
+    ) -> None:
         """Record new states, then make them true at the platform.
 
         :param rows_by_name: new rows; ``None`` drops an instance.
         """
-        if not rows_by_name:
+        if not assignments_by_name:
             return
         maintained = dict(self.pools.maintained_ms_by_name)
-        rows = dict(self.pools.rows_by_name)
-        for name, row in rows_by_name.items():
-            before = rows.pop(name)
-            if row is None:
+        assignments = dict(self.pools.assignments_by_name)
+        for name, assignment in assignments_by_name.items():
+            before = assignments.pop(name)
+            if assignment is None:
                 maintained.pop(name, None)
                 _log.event("instance left the configuration", instance=name)
                 continue
-            rows[name] = row
+            assignments[name] = assignment
             if before.state is InstanceState.REBOOTING:
-                maintained[name] = row.since_ms
+                maintained[name] = assignment.since_ms
             _log.event(
                 "instance changes state",
                 instance=name,
                 before=before.state,
-                after=row.state,
-                pool=row.pool,
-                target_pool=row.target_pool,
+                after=assignment.state,
+                pool=assignment.pool,
+                target_pool=assignment.target_pool,
             )
         self._write(
             dataclasses.replace(
                 self.pools,
-                rows_by_name=rows,
+                assignments_by_name=assignments,
                 maintained_ms_by_name=maintained,
             )
         )
-        for name in rows_by_name:
+        for name in assignments_by_name:
             self._confirmed_ms_by_name.pop(name, None)
         self.confirm()
 
-    def confirmed_for_ms(self, name: str) -> int | None:
+    def confirmation_age_ms(self, name: str) -> int | None:
         """Return how long ago the platform confirmed the recorded state.
 
         :returns: milliseconds, or ``None`` if it has not confirmed it.
@@ -141,11 +143,11 @@
 
         :raises LeaseLostError: if a later planner acts for the zone.
         """
-        for name, row in self.pools.rows_by_name.items():
+        for name, assignment in self.pools.assignments_by_name.items():
             if name in self._confirmed_ms_by_name:
                 continue
             self._lease.check()
-            action = moves.action_of(row.state)
+            action = instance_lifecycle.get_platform_action(assignment.state)
             try:
                 accepted = self._client.control_instance(
                     name, action, self._lease.fence
--- a/src/cranberrywheel_load/entries.py
+++ b/src/cranberrywheel_load/entries.py
@@ -208,7 +208,7 @@
                 for peer in alive:
                     if peer is not caller:
                         exchange_once(caller, peer)
-                caller.exchange.drop_silent_peers()
+                caller.exchange.drop_unresponsive_peers()
             check()
             self.clock.advance(step_ms)
 
@@ -249,5 +249,5 @@
     caller.clock.advance(delay_ms)
     if not caller.exchange.merge_state(state, sent_ms):
         known = caller.exchange.holder.version
-        caller.exchange.adopt_fetched(peer.exchange.record_for_peer(known))
+        caller.exchange.adopt_fetched(peer.exchange.get_newer_record(known))
         caller.exchange.merge_state(state, sent_ms)
--- a/src/cranberrywheel_load/fortnight.py
+++ b/src/cranberrywheel_load/fortnight.py
@@ -15,12 +15,12 @@
 from cranberrywheel.clock import ManualClock
 from cranberrywheel.process.capacity import (
     build_problem,
+    compute_pool_demands,
     min_healthy_by_pool,
-    pool_needs,
 )
 from cranberrywheel.process.fleet_model import Fleet, InstanceState, Plan, Sizing
 from cranberrywheel.process.size_search import choose_sizes
-from cranberrywheel.process.waves import is_due, plan_round
+from cranberrywheel.process.waves import is_maintenance_due, plan_round
 from cranberrywheel.version.configuration import Configuration, parse_configuration
 from cranberrywheel_load.fortnight_faults import FaultSchedule, build_schedule
 from cranberrywheel_load.fortnight_measures import Measures
@@ -42,13 +42,13 @@
     busy, take = set(), {}
     instances = fleet.instances_by_name.values()
     for instance in instances:
-        if instance.row.state is not InstanceState.SERVING:
+        if instance.assignment.state is not InstanceState.SERVING:
             busy.add(instance.pool)
     for instance in instances:
         if (
             instance.pool not in busy
             and instance.live
-            and is_due(configuration, instance.maintained_ms, fleet.now_ms)
+            and is_maintenance_due(configuration, instance.maintained_ms, fleet.now_ms)
         ):
             busy.add(instance.pool)
             take[instance.name] = ""
@@ -69,7 +69,7 @@
     """
     clock = ManualClock()
     world = World(configuration, schedule)
-    needs = pool_needs(configuration, {})
+    needs = compute_pool_demands(configuration, {})
     measures = Measures(configuration, needs, min_healthy_by_pool(configuration))
     sizing: Sizing | None = None
     for step in range(duration_ms // step_ms):
--- a/src/cranberrywheel_load/fortnight_measures.py
+++ b/src/cranberrywheel_load/fortnight_measures.py
@@ -3,7 +3,7 @@
 import collections
 import typing as t
 
-from cranberrywheel.process.capacity import MOVE_FACTOR, PoolNeed
+from cranberrywheel.process.capacity import MOVE_COST_FACTOR, PoolDemand
 from cranberrywheel.process.fleet_model import InstanceState
 from cranberrywheel.version.configuration import Configuration
 from cranberrywheel_load.fortnight_world import World
@@ -20,11 +20,11 @@
     def __init__(
         self,
         configuration: Configuration,
-        needs_by_pool: dict[str, PoolNeed],
+        demands_by_pool: dict[str, PoolDemand],
         min_healthy_by_pool: dict[str, int],
     ) -> None:
         self._configuration = configuration
-        self._needs = needs_by_pool
+        self._needs = demands_by_pool
         self._min_healthy = min_healthy_by_pool
         self._steps = 0
         self._last_ms = 0
@@ -70,8 +70,12 @@
         closeness = 0.0
         for pool, need in self._needs.items():
             if not self._configuration.pools_by_name[pool].spare:
-                self._buffer += max(0.0, healthy[pool] - need.mean)
-            part = min(1.0, healthy[pool] / need.surge) if need.surge else 1.0
+                self._buffer += max(0.0, healthy[pool] - need.mean_workers)
+            part = (
+                min(1.0, healthy[pool] / need.burst_workers)
+                if need.burst_workers
+                else 1.0
+            )
             closeness += part
             self._lowest_closeness = min(self._lowest_closeness, part)
         self._closeness += closeness / len(self._needs)
@@ -90,7 +94,7 @@
         return (
             weights.buffer_cost * self._buffer / self._steps / workers
             + weights.rollout_time * rollout
-            + weights.moves * MOVE_FACTOR * self.moves / workers
+            + weights.moves * MOVE_COST_FACTOR * self.moves / workers
             + weights.share * (1 - self._closeness / self._steps)
         )
 
--- a/src/cranberrywheel_load/fortnight_world.py
+++ b/src/cranberrywheel_load/fortnight_world.py
@@ -2,16 +2,16 @@
 
 import dataclasses
 
-from cranberrywheel.process import moves
+from cranberrywheel.process import instance_lifecycle
 from cranberrywheel.process.fleet_model import (
     Fleet,
     FleetInstance,
+    InstanceAssignment,
     InstanceState,
     Plan,
-    PoolRow,
     WorkerReport,
 )
-from cranberrywheel.process.waves import DUE_FRACTION, is_due
+from cranberrywheel.process.waves import DUE_FRACTION, is_maintenance_due
 from cranberrywheel.version.configuration import Configuration
 from cranberrywheel_load.fortnight_faults import FaultSchedule
 
@@ -29,7 +29,7 @@
         self.configuration = configuration
         self._schedule = schedule
         workers = configuration.workers_by_name.values()
-        self.rows_by_name = {w.name: PoolRow(pool=w.pool) for w in workers}
+        self.rows_by_name = {w.name: InstanceAssignment(pool=w.pool) for w in workers}
         self.maintained_ms_by_name = dict.fromkeys(self.rows_by_name, 0)
         self._down_until_ms: dict[str, int] = {}
         self._job_ends_ms: dict[str, int] = {}
@@ -88,7 +88,7 @@
                 name=name,
                 zone=worker.zone,
                 rack=worker.rack,
-                row=row,
+                assignment=row,
                 live=name not in self._seen_down,
                 maintained_ms=maintained_ms + _EPOCH_MS if maintained_ms else 0,
                 report=self._report(name, now_ms),
@@ -113,13 +113,13 @@
         """Apply what a plan starts."""
         rows = self.rows_by_name
         for name in plan.recall:
-            rows[name] = moves.recall(rows[name], now_ms)
+            rows[name] = instance_lifecycle.recall(rows[name], now_ms)
         for name in plan.repair:
-            rows[name] = moves.begin_repair(rows[name], now_ms)
+            rows[name] = instance_lifecycle.begin_repair(rows[name], now_ms)
         for name in plan.quarantine:
-            rows[name] = moves.quarantine(rows[name], now_ms)
+            rows[name] = instance_lifecycle.quarantine(rows[name], now_ms)
         for name, target in plan.take.items():
-            rows[name] = moves.begin_drain(rows[name], target, now_ms)
+            rows[name] = instance_lifecycle.begin_drain(rows[name], target, now_ms)
 
     def finish_steps(self, now_ms: int) -> None:
         """Advance the instances that are out."""
@@ -133,8 +133,10 @@
             if self.is_down(name, now_ms):
                 report = dataclasses.replace(report, reachable=False)
             maintained_ms = self.maintained_ms_by_name[name]
-            due = not maintained_ms or is_due(self.configuration, maintained_ms, now_ms)
-            after = moves.advance(row, report, rebooted, due, now_ms)
+            due = not maintained_ms or is_maintenance_due(
+                self.configuration, maintained_ms, now_ms
+            )
+            after = instance_lifecycle.advance(row, report, rebooted, due, now_ms)
             if after is None:
                 continue
             self.rows_by_name[name] = after
--- a/src/cranberrywheel_load/sizing_comparison.py
+++ b/src/cranberrywheel_load/sizing_comparison.py
@@ -17,9 +17,9 @@
 from cranberrywheel.connection.store_client import InstanceList
 from cranberrywheel.process.capacity import (
     SizingProblem,
-    best_wave,
     build_problem,
-    cost_of,
+    compute_cost,
+    find_best_wave,
 )
 from cranberrywheel.process.fleet_model import Sizing, build_fleet
 from cranberrywheel.process.size_search import choose_sizes
@@ -80,7 +80,7 @@
 
     :param counts: variables of the pool's workers by zone.
     """
-    weights, need = problem.weights, problem.needs_by_pool[pool]
+    weights, need = problem.weights, problem.demands_by_pool[pool]
     pools, size = len(problem.counts), problem.sizes_by_pool[pool]
     healthy = problem.min_healthy_by_pool[pool]
     out = {zone: model.variable() for zone in counts}
@@ -103,11 +103,16 @@
     if pool not in problem.spare_pools:
         idle = model.variable(weights.buffer_cost / problem.fleet_size)
         negated = dict.fromkeys(counts.values(), -1.0)
-        model.row({idle: 1.0, **negated}, -need.mean)
-    if need.surge:
-        price = weights.share * problem.importance_by_pool[pool] / pools / need.surge
+        model.row({idle: 1.0, **negated}, -need.mean_workers)
+    if need.burst_workers:
+        price = (
+            weights.share
+            * problem.importance_by_pool[pool]
+            / pools
+            / need.burst_workers
+        )
         short = model.variable(price)
-        model.row({short: 1.0, **total_terms, **wave_terms}, need.surge)
+        model.row({short: 1.0, **total_terms, **wave_terms}, need.burst_workers)
 
 
 def choose_sizes_by_milp(problem: SizingProblem) -> Sizing:
@@ -131,11 +136,11 @@
         pool: {zone: round(result.x[c]) for zone, c in columns.items()}
         for pool, columns in counts.items()
     }
-    waves = {pool: best_wave(problem, pool, found[pool])[1] for pool in found}
+    waves = {pool: find_best_wave(problem, pool, found[pool])[1] for pool in found}
     return Sizing(
         counts=found,
         wave_sizes_by_pool=waves,
-        cost=cost_of(problem, found, waves),
+        cost=compute_cost(problem, found, waves),
     )
 
 
@@ -159,8 +164,10 @@
     methods = {"local": choose_sizes, "milp": choose_sizes_by_milp}
     print(f"seed {SEED}")
     for name, problem in _problems():
-        waves = {p: best_wave(problem, p, z)[1] for p, z in problem.counts.items()}
-        print(f"{name}: unchanged cost={cost_of(problem, problem.counts, waves):.4f}")
+        waves = {p: find_best_wave(problem, p, z)[1] for p, z in problem.counts.items()}
+        print(
+            f"{name}: unchanged cost={compute_cost(problem, problem.counts, waves):.4f}"
+        )
         for method, choose in methods.items():
             if wanted not in (method, "both"):
                 continue
--- a/src/cranberrywheel_spec/freshness_conformance.py
+++ b/src/cranberrywheel_spec/freshness_conformance.py
@@ -86,7 +86,7 @@
         """Tell whether this entry refuses the withdrawn key."""
         snapshot = self.exchange.holder.snapshot
         withdrawn = snapshot is not None and _KEY not in snapshot.keys_by_id
-        return withdrawn or _KEY in self.exchange.unwritten_marks()
+        return withdrawn or _KEY in self.exchange.list_unwritten_tombstones()
 
 
 class FreshnessMachine(ConformanceMachine):
@@ -179,7 +179,7 @@
         sent_ms, record = self.reads[i]
         exchange = self.entries[i].exchange
         exchange.holder.adopt(record)
-        exchange.store_read(sent_ms)
+        exchange.record_store_read(sent_ms)
 
     def _get_answer(self, i: str, j: str) -> None:
         state, record = self.answers[i + j]
@@ -194,7 +194,7 @@
     def _withdraw(self, name: str) -> None:
         w, c = self.entries["w"].exchange, self.entries["c"].exchange
         if name in ("w marks the key", "w marks and stores"):
-            w.add_mark(_KEY)
+            w.add_tombstone(_KEY)
         if name in (
             "w marks and stores",
             "an entry writes the withdrawal to the store",
--- a/src/cranberrywheel_spec/pool_conformance.py
+++ b/src/cranberrywheel_spec/pool_conformance.py
@@ -9,9 +9,13 @@
     StoreConflictError,
     StoreUnavailableError,
 )
-from cranberrywheel.process import moves
+from cranberrywheel.process import instance_lifecycle
 from cranberrywheel.process.disruptions import Disruptions
-from cranberrywheel.process.fleet_model import InstanceState, PoolRow, WorkerReport
+from cranberrywheel.process.fleet_model import (
+    InstanceAssignment,
+    InstanceState,
+    WorkerReport,
+)
 from cranberrywheel.process.record_store import RecordStore
 from cranberrywheel.process.zone_record import ZoneRecord
 from cranberrywheel.version.configuration import parse_configuration
@@ -70,7 +74,7 @@
             raise StoreUnavailableError("no answer", "wait")
         if not self._platform.check_fence(name, fence):
             return False
-        self.drained = action != moves.PlatformAction.UNDRAIN
+        self.drained = action != instance_lifecycle.PlatformAction.UNDRAIN
         return True
 
 
@@ -90,11 +94,11 @@
         lease = _Lease(fence)
         self.zone = zone("z1", client, records, lease, ManualClock())
         self.disruptions = Disruptions(records)
-        self.empty_row: PoolRow | None = None
+        self.empty_row: InstanceAssignment | None = None
 
     @property
-    def row(self) -> PoolRow:
-        return self.zone.pools.rows_by_name[_OWN]
+    def row(self) -> InstanceAssignment:
+        return self.zone.pools.assignments_by_name[_OWN]
 
 
 class PoolMachine(ConformanceMachine):
@@ -102,7 +106,7 @@
 
     make_zone: t.ClassVar[type[ZoneRecord]] = ZoneRecord
     make_client: t.ClassVar[type[_Client]] = _Client
-    advance: t.ClassVar = staticmethod(moves.advance)
+    advance: t.ClassVar = staticmethod(instance_lifecycle.advance)
 
     def __init__(self) -> None:
         super().__init__()
@@ -140,7 +144,7 @@
         assert self.client.drained == values["drained"]
         for p, planner in self.planners.items():
             if values[f"leads_{p}"]:
-                confirmed = planner.zone.confirmed_for_ms(_OWN) is not None
+                confirmed = planner.zone.confirmation_age_ms(_OWN) is not None
                 call = "carries out the call of planner"
                 answered = values[f"answered_{p}"]
                 assert confirmed <= bool(answered), f"platform {call} {p}"
@@ -160,7 +164,7 @@
         zone = self.planners[p].zone
         if (
             not self.walk.values[f"leads_{p}"]
-            or zone.confirmed_for_ms(_OWN) is not None
+            or zone.confirmation_age_ms(_OWN) is not None
         ):
             return
         if self._can(f"planner {p} repeats its call"):
@@ -181,18 +185,18 @@
         ready = values[f"knows_listed_{p}"] and values[f"answered_{p}"]
         if values[f"leads_{p}"] and planner.row.state is InstanceState.SERVING:
             if pool != planner.row.pool and (stale or ready):
-                self._write(p, moves.begin_drain(planner.row, pool, 0))
+                self._write(p, instance_lifecycle.begin_drain(planner.row, pool, 0))
 
     def recall(self, p: str) -> None:
         planner = self.planners[p]
         if self.walk.values[f"leads_{p}"]:
             if planner.row.state is InstanceState.DRAINING:
-                self._write(p, moves.recall(planner.row, 0))
+                self._write(p, instance_lifecycle.recall(planner.row, 0))
 
     def advance_own(self, p: str) -> None:
         """Ask the worker, then write the next state."""
         planner, values = self.planners[p], self.walk.values
-        if not values[f"leads_{p}"] or planner.zone.confirmed_for_ms(_OWN) is None:
+        if not values[f"leads_{p}"] or planner.zone.confirmation_age_ms(_OWN) is None:
             return
         report = WorkerReport(running=int(values["running"]))
         row = self.advance(planner.row, report, True, False, 0)
@@ -210,7 +214,7 @@
         if row and planner.row.state is InstanceState.DRAINING:
             self._write(p, row)
 
-    def _write(self, p: str, row: PoolRow) -> None:
+    def _write(self, p: str, row: InstanceAssignment) -> None:
         """Write a row; the platform call that follows is lost."""
         if not self.walk.values[f"in_force_{p}"]:
             return
--- a/tests/small_deployment.py
+++ b/tests/entry_group_fixtures.py
@@ -8,7 +8,7 @@
 TEXT = SMALL.replace("limit = 4", "limit = 12")
 
 
-def group_of(count, limits=None):
+def build_entry_group(count, limits=None):
     """Build entries in alternating zones."""
     zones = [f"z{number % 2 + 1}" for number in range(count)]
     return EntryGroup(zones, limits or LimitSettings(short_hold_ms=90_000))
--- a/tests/planner_fixtures.py
+++ b/tests/planner_fixtures.py
@@ -77,7 +77,7 @@
     )
     instances = dict(built.instances_by_name)
     for name, row in (rows or {}).items():
-        instances[name] = dataclasses.replace(instances[name], row=row)
+        instances[name] = dataclasses.replace(instances[name], assignment=row)
     return dataclasses.replace(built, instances_by_name=instances, **fields)
 
 
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -1,5 +1,5 @@
 import testtools
-from small_deployment import TEXT
+from entry_group_fixtures import TEXT
 
 from cranberrywheel.connection.store_client import Record
 from cranberrywheel.errors import StoreError, UnauthorizedError
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -6,9 +6,9 @@
 from cranberrywheel.connection.store_client import InstanceList
 from cranberrywheel.process.capacity import (
     build_problem,
-    cost_of,
-    pool_needs,
-    wave_limit,
+    compute_cost,
+    compute_pool_demands,
+    compute_wave_limit,
 )
 from cranberrywheel.process.fleet_model import QueueUsage
 from cranberrywheel.process.size_search import choose_sizes
@@ -27,20 +27,20 @@
         # Guards against plans from declared sizes that are far off.
         config = configuration()
         usage = {"qa": QueueUsage(busy=16, cores=4, memory_mb=10)}
-        need = pool_needs(config, usage)["a"]
-        self.assertEqual((8, 40), (need.mean, need.surge))
+        need = compute_pool_demands(config, usage)["a"]
+        self.assertEqual((8, 40), (need.mean_workers, need.burst_workers))
 
     def test_buffer_of_a_pool_covers_one_burst_at_a_time(self):
         config = example("maclachlan-rennie")
-        need = pool_needs(config, {})["administration"]
-        self.assertAlmostEqual((8 * 4.95 + 16 * 0.05) / 8, need.surge)
+        need = compute_pool_demands(config, {})["administration"]
+        self.assertAlmostEqual((8 * 4.95 + 16 * 0.05) / 8, need.burst_workers)
 
     def test_wave_limit_survives_any_zone(self):
         # Guards against wave sizes that a zone loss would turn into a breach.
-        self.assertEqual(2, wave_limit((4, 4), 3))
-        self.assertEqual(4, wave_limit((4, 2), 1))
-        self.assertEqual(0, wave_limit((1, 1), 2))
-        self.assertEqual(1, wave_limit((3, 1), 2))
+        self.assertEqual(2, compute_wave_limit((4, 4), 3))
+        self.assertEqual(4, compute_wave_limit((4, 2), 1))
+        self.assertEqual(0, compute_wave_limit((1, 1), 2))
+        self.assertEqual(1, compute_wave_limit((3, 1), 2))
 
     def test_examples_give_different_plans(self):
         # Guards against weights that have no effect.
@@ -64,7 +64,7 @@
         problem = build_problem(config, fleet(config))
         sizing = choose_sizes(problem)
         waves = {pool: 1 for pool in problem.counts}
-        self.assertLessEqual(sizing.cost, cost_of(problem, problem.counts, waves))
+        self.assertLessEqual(sizing.cost, compute_cost(problem, problem.counts, waves))
         for zone in config.regions_by_zone:
             before, after = (
                 sum(zones.get(zone, 0) for zones in counts.values())
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,5 +1,5 @@
 import testtools
-from small_deployment import TEXT, group_of
+from entry_group_fixtures import TEXT, build_entry_group
 
 from cranberrywheel.connection.store_client import Record
 from cranberrywheel.errors import PeerError, StoreError
@@ -23,7 +23,7 @@
 
 class ExchangeTest(testtools.TestCase):
     def group(self, count=3):
-        group = group_of(count)
+        group = build_entry_group(count)
         group.entries[0].apply(TEXT, 0).result(0)
         group.run(5_000)
         return group, group.entries
@@ -53,7 +53,7 @@
         group, (a, b, _) = self.group()
         group.set_down(True)
         group.clock.advance(60_000)
-        b.exchange.store_read(group.clock.now_ms() - 1_000)
+        b.exchange.record_store_read(group.clock.now_ms() - 1_000)
         exchange_once(a, b, delay_ms=3_500)
         self.assertEqual(4_500, a.freshness.age_ms(group.clock.now_ms()))
 
@@ -83,7 +83,7 @@
 
     def test_registered_entry_that_was_never_heard(self):
         """It may know a withdrawal that no other entry knows."""
-        group = group_of(3)
+        group = build_entry_group(3)
         a, b, c = group.entries
         c.cut_off = True
         a.apply(TEXT, 0).result(0)
@@ -151,7 +151,7 @@
         group.set_down(False)
         group.run(6_000)
         self.assertIn(key_id, c.exchange.holder.snapshot.withdrawn_ids)
-        self.assertEqual(set(), b.exchange.unwritten_marks())
+        self.assertEqual(set(), b.exchange.list_unwritten_tombstones())
 
     def test_older_proof_does_not_hide_a_newer_version(self):
         """A peer's proof covers its version; without that version it is void."""
@@ -161,11 +161,11 @@
         record = b.exchange.holder.record
         newer = ConfigurationRecord(version=99, record_json=record.value)
         b.exchange.adopt_fetched(newer)
-        b.exchange.store_read(group.clock.now_ms())
+        b.exchange.record_store_read(group.clock.now_ms())
         state = b.exchange.build_state()
         self.assertFalse(a.exchange.merge_state(state, group.clock.now_ms()))
         self.assertFalse(a.is_fresh())
-        a.exchange.adopt_fetched(b.exchange.record_for_peer(a.exchange.holder.version))
+        a.exchange.adopt_fetched(b.exchange.get_newer_record(a.exchange.holder.version))
         self.assertTrue(a.exchange.merge_state(state, group.clock.now_ms()))
         self.assertTrue(a.is_fresh())
 
@@ -244,7 +244,7 @@
 
     def test_new_instance_is_not_taken_for_gone(self):
         """A lagging list lacks new instances; only a listed one can be gone."""
-        group = group_of(3)
+        group = build_entry_group(3)
         group.entries[0].apply(TEXT, 0).result(0)
         for entry in group.entries[:2]:
             group.platform.set_instance(entry.settings.instance, {"kind": "entry"})
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -2,7 +2,7 @@
 import random
 
 import testtools
-from decision_data import SEED, request
+from dispatch_fixtures import SEED, request
 
 from cranberrywheel.errors import OverloadedError
 from cranberrywheel.request.fair_queue import FairQueue
--- a/tests/test_freshness_conformance.py
+++ b/tests/test_freshness_conformance.py
@@ -7,8 +7,8 @@
 
 
 class LateReadExchange(PeerExchange):
-    def store_read(self, taken_ms):
-        super().store_read(self._clock.now_ms())
+    def record_store_read(self, taken_ms):
+        super().record_store_read(self._clock.now_ms())
 
 
 class LateMessageExchange(PeerExchange):
@@ -17,9 +17,9 @@
 
 
 class UnmarkedExchange(PeerExchange):
-    def add_mark(self, key_id):
+    def add_tombstone(self, key_id):
         if self.process_id.startswith("z1.e4"):
-            super().add_mark(key_id)
+            super().add_tombstone(key_id)
 
 
 class UnversionedExchange(PeerExchange):
@@ -32,8 +32,8 @@
     def __init__(self, *arguments):
         super().__init__(*arguments)
         membership = self._membership
-        membership.all_heard_ms = lambda: max(
-            membership.heard_ms_by_id().values(), default=None
+        membership.known_until_ms = lambda: max(
+            membership.last_report_ms_by_id().values(), default=None
         )
 
 
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -158,14 +158,14 @@
 
     def test_hand_over(self):
         """Results and marks of a process that stops must survive it."""
-        self.a.exchange.add_mark("k1")
+        self.a.exchange.add_tombstone("k1")
         export = TicketExport(forgotten_ms=7, results=(("ticket", answer()),))
         count = self.a.service.hand_over(self.b.address, "z1.e9.x", export).result(
             WAIT_S
         )
         self.assertEqual(1, count)
         self.assertEqual(export, self.b.export)
-        self.assertEqual({"k1"}, self.b.exchange.unwritten_marks())
+        self.assertEqual({"k1"}, self.b.exchange.list_unwritten_tombstones())
 
     def test_malformed_answer_is_refused_and_counted(self):
         """A wrong outcome must not be passed on to a caller."""
--- a/tests/test_pool_conformance.py
+++ b/tests/test_pool_conformance.py
@@ -1,7 +1,7 @@
 import testtools
 from hypothesis.stateful import run_state_machine_as_test
 
-from cranberrywheel.process import moves
+from cranberrywheel.process import instance_lifecycle
 from cranberrywheel.process.zone_record import ZoneRecord
 from cranberrywheel_spec.compare import run_settings
 from cranberrywheel_spec.pool_conformance import PoolMachine, _Client
@@ -20,7 +20,7 @@
 
     def claim(self, configuration, now_ms):
         super().claim(configuration, now_ms)
-        self._confirmed_ms_by_name = dict.fromkeys(self.pools.rows_by_name, 0)
+        self._confirmed_ms_by_name = dict.fromkeys(self.pools.assignments_by_name, 0)
 
 
 class UnfencedClient(_Client):
@@ -29,7 +29,9 @@
 
 
 def advance_at_once(row, report, rebooted, due, now_ms):
-    return moves.advance(row, moves.WorkerReport(running=0), rebooted, due, now_ms)
+    return instance_lifecycle.advance(
+        row, instance_lifecycle.WorkerReport(running=0), rebooted, due, now_ms
+    )
 
 
 class PoolConformanceTest(testtools.TestCase):
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,7 +1,7 @@
 import random
 
 import testtools
-from decision_data import SEED, request
+from dispatch_fixtures import SEED, request
 
 from cranberrywheel.request.retry import RetryBudget, blames_request, plan_retry
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -2,7 +2,7 @@
 import random
 
 import testtools
-from decision_data import SEED
+from dispatch_fixtures import SEED
 
 from cranberrywheel.request.routing import SamplingList, choose_worker
 
--- a/tests/test_store_session.py
+++ b/tests/test_store_session.py
@@ -1,7 +1,7 @@
 import json
 
 import testtools
-from small_deployment import TEXT, group_of
+from entry_group_fixtures import TEXT, build_entry_group
 
 from cranberrywheel.errors import (
     ConfigurationError,
@@ -21,7 +21,7 @@
 class ConfigurationTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.group = group_of(2)
+        self.group = build_entry_group(2)
         self.a, self.b = self.group.entries
         self.group.run(1_000)
 
@@ -155,7 +155,7 @@
 class SessionTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.group = group_of(1)
+        self.group = build_entry_group(1)
         (self.a,) = self.group.entries
 
     def renewals(self):
--- a/tests/test_sharing_network.py
+++ b/tests/test_store_session_network.py
@@ -4,7 +4,7 @@
 import threading
 
 import testtools
-from small_deployment import TEXT
+from entry_group_fixtures import TEXT
 from test_peer_service import WAIT_S, Peer, free_ports
 from werkzeug.serving import make_server
 
@@ -60,7 +60,7 @@
         self.assertEqual(expected, result)
         # A peer confirms with its mark or with the stored version, whichever it has;
         # a mark goes only when the version is there, so marks are read first.
-        refused = b.exchange.unwritten_marks()
+        refused = b.exchange.list_unwritten_tombstones()
         refused |= b.exchange.holder.snapshot.withdrawn_ids
         self.assertIn(key_id, refused)
 
--- a/tests/test_ticket.py
+++ b/tests/test_ticket.py
@@ -1,7 +1,7 @@
 import random
 
 import testtools
-from decision_data import SEED
+from dispatch_fixtures import SEED
 
 from cranberrywheel.errors import (
     ForbiddenError,
--- a/tests/test_unit_keeper.py
+++ b/tests/test_unit_keeper.py
@@ -1,7 +1,7 @@
 import random
 
 import testtools
-from small_deployment import TEXT, group_of
+from entry_group_fixtures import TEXT, build_entry_group
 
 from cranberrywheel.errors import StoreError
 from cranberrywheel.process.messages import Stop
@@ -13,7 +13,7 @@
 
 class UnitKeeperTest(testtools.TestCase):
     def group(self, count=3, limits=None):
-        group = group_of(count, limits)
+        group = build_entry_group(count, limits)
         group.entries[0].apply(TEXT, 0).result(0)
         group.run(8_000)
         return group
@@ -269,7 +269,7 @@
     def check_history(self, seed):
         print("seed", seed)
         self.rng, self.repairs = random.Random(seed), []
-        self.group = group_of(
+        self.group = build_entry_group(
             4, LimitSettings(short_hold_ms=90_000, long_hold_ms=240_000)
         )
         self.group.entries[0].apply(TEXT, 0).result(0)
--- a/tests/test_waves.py
+++ b/tests/test_waves.py
@@ -4,20 +4,20 @@
 from planner_fixtures import NOW_MS, configuration, fleet, listing
 
 from cranberrywheel.connection.store_client import InstanceList
-from cranberrywheel.process.budget import BudgetLedger
+from cranberrywheel.process.budget import AvailabilityBudgets
 from cranberrywheel.process.capacity import build_problem
 from cranberrywheel.process.fleet_model import (
+    InstanceAssignment,
     InstanceState,
-    PoolRow,
     QueueUsage,
     WorkerReport,
-    seed_zone_pools,
+    add_declared_workers,
 )
 from cranberrywheel.process.fleet_model import dump_zone_pools as dump
 from cranberrywheel.process.size_search import choose_sizes
 from cranberrywheel.process.waves import plan_preview, plan_round
 
-DRAINING = PoolRow(pool="a", state=InstanceState.DRAINING)
+DRAINING = InstanceAssignment(pool="a", state=InstanceState.DRAINING)
 
 
 def plan(config, built):
@@ -117,7 +117,7 @@
     def test_quarantined_worker_joins_the_next_wave_once(self):
         # Guards against a worker that stays out, and against a reboot loop.
         config = configuration()
-        row = PoolRow(pool="a", state=InstanceState.QUARANTINED)
+        row = InstanceAssignment(pool="a", state=InstanceState.QUARANTINED)
         built = fleet(config, rows={"a1": row})
         self.assertEqual(("a1",), plan(config, built).repair)
         recent = dataclasses.replace(
@@ -139,13 +139,13 @@
         out = {"a": ("a3", "a4")}
         built = fleet(config, out_by_service=out)
         self.assertEqual([], taken(plan(config, built)))
-        ledger = BudgetLedger(config, built, out["a"])
+        ledger = AvailabilityBudgets(config, built, out["a"])
         self.assertNotEqual("", ledger.take(built.instances_by_name["a1"]))
 
     def test_preview_is_json_ready_with_and_without_records(self):
         config = configuration()
         empty = InstanceList(0, 0, ())
-        pools = dump(seed_zone_pools(config, "x", None, 3, NOW_MS))
+        pools = dump(add_declared_workers(config, "x", None, 3, NOW_MS))
         for records in ({}, {"x": pools}):
             shown = plan_preview(config, records, empty).to_json()
             self.assertNotEqual({}, shown["take"])
@@ -157,7 +157,7 @@
         # Guards the invariant itself over all orders of taking.
         config = configuration(healthy=1)
         built = fleet(config)
-        ledger = BudgetLedger(config, built)
+        ledger = AvailabilityBudgets(config, built)
         instances = built.instances_by_name.values()
         kept = [i for i in instances if ledger.take(i)]
         for zone in ("x", "y"):
--- a/tests/test_worker_table.py
+++ b/tests/test_worker_table.py
@@ -3,7 +3,7 @@
 import random
 
 import testtools
-from decision_data import SEED, rows
+from dispatch_fixtures import SEED, rows
 
 from cranberrywheel.clock import ManualClock
 from cranberrywheel.process.worker_table import AttemptVerdict, WorkerTable
