--- a/src/cranberrywheel/node/leadership.py
+++ b/src/cranberrywheel/node/leadership.py
@@ -1,4 +1,4 @@
-"""Which process decides: a lease in the store with a rising fence."""
+"""Leader election by a lease in the store, with a fencing token that increases."""
 
 import dataclasses
 import json
@@ -10,53 +10,60 @@
 from cranberrywheel.node.watch import PrefixWatch
 from cranberrywheel.platform.store import Item, Outcome, Store, StoreReply, Write
 
-#: Time to live of the leader's lease: a dead leader is noticed within it, and runs
-#: whose executor lease is longer survive the take-over.
+#: Time to live of the leader's lease. The loss of a leader is detected within it; runs
+#: survive the takeover because the lease of an executor is longer.
 LEADER_LEASE_MS = 1_200
-#: Time between renewals.
+#: Interval between renewals.
 RENEW_INTERVAL_MS = 200
-#: Longest wait for a renewal. Two direct ones may fail, and one through a peer still
-#: comes within the lease; the store answers in 250 ms while it is slow.
+#: Timeout of a renewal. After two failed direct renewals one through a relay peer still
+#: fits into the lease; a slow store answers in 250 ms.
 RENEW_TIMEOUT_MS = 350
-#: Pause before a failed renewal is repeated.
+#: Delay before a failed renewal is retried.
 RENEW_RETRY_MS = 5
-#: The holder stops this long before its lease may end in the store.
+#: The leader stops this long before its lease can expire in the store.
 LEASE_SAFETY_MARGIN_MS = 150
-#: Processor and link of a machine that carries the scheduler of the largest known
-#: deployment: 180 executors take up to half a core and 10 Mbit/s in a queue's turn.
+#: Processor and link with which a machine has full capacity for the scheduler. In the
+#: largest known deployment, with 180 executors, the scheduler uses up to half a core and
+#: 10 Mbit/s during a burst.
 FULL_CAPACITY_CORES = 1.0
 FULL_CAPACITY_LINK_MBPS = 50.0
-#: Pause of a machine that has nothing of that; others pause for their lack only.
+#: Acquisition delay of a machine with capacity 0; it falls linearly to 0 at capacity 1.
 MAX_CAPACITY_DELAY_MS = 1_000
-#: A machine leaves the lead to one that has this multiple of its capacity.
+#: A candidate with at least this multiple of the own capacity counts as larger and is
+#: given precedence.
 LARGER_CAPACITY_RATIO = 1.25
-#: How long a free lead is left to a larger machine that is registered.
+#: Additional acquisition delay while a larger candidate is registered.
 LARGER_CANDIDATE_DELAY_MS = 1_000
-#: How long a smaller machine leads before it hands over: above the lease of a
-#: member's record, so that a larger one that is cut off is registered no more.
+#: Time for which a smaller machine leads before it hands over. It exceeds the lease of
+#: a member record, so that an unreachable larger machine is no longer registered.
 MIN_LEADERSHIP_MS = 6_000
-#: Factor by which that time grows each time that no larger machine took the lead.
+#: Factor by which that time grows with each such handover, so that they become rare
+#: when no larger machine acquires the leadership.
 YIELD_BACKOFF_FACTOR = 4
-#: Longest pause before a process competes, a millisecond for each second of its age.
+#: Longest acquisition delay for uptime, which adds 1 ms for each second of uptime.
 MAX_UPTIME_DELAY_MS = 100
-#: Pause before the next try to take the leadership.
+#: Interval between attempts to acquire the leadership.
 ACQUIRE_RETRY_MS = 200
 
 _log = PartLogger("leadership")
 
 
 def scheduling_capacity(cores: float, link_mbps: float) -> float:
-    """Return how well a machine carries the scheduler, from 0 to 1."""
+    """Return the capacity of a machine for running the scheduler, from 0 to 1.
+
+    :param cores: processor capacity in cores.
+    :param link_mbps: bandwidth of the network link in Mbit/s.
+    """
     return min(1.0, cores / FULL_CAPACITY_CORES, link_mbps / FULL_CAPACITY_LINK_MBPS)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """This process as a candidate for the leadership.
+    """A process as a candidate for the leadership.
 
-    :param process: name of this incarnation.
+    :param process: unique name of the process, which changes with each start.
     :param address: ``host:port`` of its peer service.
-    :param capacity: of its machine, from :func:`lead_capacity`.
+    :param capacity: capacity of its machine, from :func:`scheduling_capacity`.
     """
 
     process: str
@@ -68,8 +75,10 @@
 class Holder:
     """The process that holds the leadership.
 
+    :param process: unique name of the process.
     :param address: ``host:port`` of its peer service.
-    :param fence: revision of its record; rises with each leadership.
+    :param fence: fencing token: the revision of its record, which increases with each
+        leadership.
     """
 
     process: str
@@ -78,16 +87,17 @@
 
 
 class Leadership:
-    """Follows the leadership and takes it when it is free.
+    """Watches the leadership and acquires it when it is vacant.
 
     All methods run on the loop's thread.
 
     :param candidate: this process.
-    :param largest_rival: returns the largest capacity among the other registered
-        processes.
-    :param may_compete: whether this process can lead at all.
-    :param on_gain: called with fence, term and the fence of the leadership before.
-    :param on_loss: called when this process must stop deciding.
+    :param largest_rival_capacity: returns the largest capacity among the other
+        registered processes; 0 if there is none.
+    :param may_compete: returns whether this process can lead at all.
+    :param on_acquired: called with the fencing token, the term, and the previous
+        leadership's fencing token.
+    :param on_lost: called when this process must stop scheduling.
     """
 
     def __init__(
@@ -119,34 +129,36 @@
         self._min_leadership_ms = MIN_LEADERSHIP_MS
         self._vacant_since_ms = loop.clock.now_ms()
         self._watch = PrefixWatch(
-            loop, store, LEADER_KEY, self._on_item, self._on_first_read
+            loop, store, LEADER_KEY, self._on_leader_record, self._on_first_read
         )
 
     @property
     def is_leader(self) -> bool:
-        """Whether this process leads, as far as it knows."""
+        """Whether this process leads; its lease may have expired since."""
         return bool(self.fence)
 
     def has_valid_lease(self) -> bool:
-        """Whether nobody else can hold the leadership at this moment."""
+        """Whether the lease has not expired, so that no other process can lead."""
         return bool(self.fence) and self._loop.clock.now_ms() < self._valid_until_ms
 
     def start(self) -> None:
-        """Begin to follow the leadership."""
+        """Start to watch the leadership and to compete for it."""
         self._watch.start()
         self._loop.after(ACQUIRE_RETRY_MS, self._on_retry_timer)
 
     @property
     def should_yield(self) -> bool:
-        """Whether a larger machine should lead instead of this one."""
+        """Whether this leader should hand over to a larger machine."""
         if not self.has_valid_lease() or not self._has_larger_rival():
             return False
         return self._loop.clock.now_ms() - self._acquired_ms >= self._min_leadership_ms
 
     def release(self, handover_record: t.Callable[[], bytes], reason: str) -> None:
-        """Give the leadership up, so that another process takes it at once.
+        """Release the leadership, so that another process can acquire it immediately.
 
-        :param account: called after the loss; returns the record for the successor.
+        :param handover_record: called after ``on_lost``; returns the encoded handover
+            record for the successor.
+        :param reason: reason that is logged.
         """
         if not self.fence:
             return
@@ -161,13 +173,16 @@
         )
 
         def on_reply(reply: StoreReply) -> None:
-            # Without the write the lease ends by itself a second later.
-            _log.event("handed over", fence=fence, outcome=reply.outcome.value)
+            # If the write fails, the lease expires within about a second.
+            _log.event("leadership released", fence=fence, outcome=reply.outcome.value)
 
         self._store.write(write, on_reply)
 
     def step_down(self, reason: str) -> None:
-        """Stop leading because another leader was seen."""
+        """Stop leading because there is a newer leader.
+
+        :param reason: reason that is logged.
+        """
         if self.fence:
             self._stop_leading(reason)
 
@@ -179,7 +194,7 @@
         self._initial_read_done = True
         self._try_acquire()
 
-    def _on_item(self, item: Item) -> None:
+    def _on_leader_record(self, item: Item) -> None:
         if item.key != LEADER_KEY:
             return
         if item.value is None:
@@ -193,13 +208,13 @@
             self._stop_leading("another process leads")
 
     def _acquire_delay_ms(self) -> int:
-        """Return how long a free leadership is left to others.
+        """Return the time for which a vacant leadership is left to other candidates.
 
-        Larger machines go first, and younger processes, since a rolling restart has
-        passed them.
+        Larger machines have precedence, and so have recently started processes, since
+        a rolling restart has already passed them.
         """
-        up_ms = self._loop.clock.now_ms() - self._started_ms
-        delay_ms = min(MAX_UPTIME_DELAY_MS, up_ms // 1_000)
+        uptime_ms = self._loop.clock.now_ms() - self._started_ms
+        delay_ms = min(MAX_UPTIME_DELAY_MS, uptime_ms // 1_000)
         delay_ms += round((1.0 - self._candidate.capacity) * MAX_CAPACITY_DELAY_MS)
         return delay_ms + (LARGER_CANDIDATE_DELAY_MS if self._has_larger_rival() else 0)
 
@@ -229,9 +244,9 @@
                 return
             self._lease = reply.lease
             self._valid_until_ms = requested_ms + reply.ttl_ms - LEASE_SAFETY_MARGIN_MS
-            self._store.read(TERM_KEY, on_term)
+            self._store.read(TERM_KEY, on_term_read)
 
-        def on_term(reply: StoreReply) -> None:
+        def on_term_read(reply: StoreReply) -> None:
             if reply.outcome not in (Outcome.OK, Outcome.ABSENT):
                 self._acquiring = False
                 return
@@ -249,36 +264,40 @@
                     (TERM_KEY, str(term).encode(), 0),
                 ),
             )
-            # Fence and term of a leadership are written together.
+            # One write, so that the fencing token and the term change together.
             self._store.write(write, lambda result: on_written(result, term, revision))
 
         def on_written(reply: StoreReply, term: int, previous_fence: int) -> None:
             self._acquiring = False
             if reply.outcome is Outcome.OK:
-                self._on_acquired_lease(reply.revision, term, previous_fence)
+                self._begin_leadership(reply.revision, term, previous_fence)
             else:
-                # Without an answer the record may still appear; its lease is not
-                # renewed, so that it ends and the next try finds the way free.
-                _log.event("did not gain the lead", outcome=reply.outcome.value)
+                # If the outcome is unknown, the record may still be written. Its lease
+                # is not renewed, so it expires and a later attempt can succeed.
+                _log.event("leadership not acquired", outcome=reply.outcome.value)
 
         self._store.grant_lease(LEADER_LEASE_MS, on_lease)
 
-    def _on_acquired_lease(self, fence: int, term: int, previous_fence: int) -> None:
+    def _begin_leadership(self, fence: int, term: int, previous_fence: int) -> None:
         if self._loop.clock.now_ms() >= self._valid_until_ms:
-            _log.warning("gained the lead too late", fence=fence)
+            _log.warning(
+                "leadership not used: its lease may have expired already", fence=fence
+            )
             return
         self.fence = fence
         candidate = self._candidate
         self.holder = Holder(candidate.process, candidate.address, fence)
         self._generation += 1
         self._acquired_ms = self._loop.clock.now_ms()
-        _log.event("leads", fence=fence, term=term, capacity=candidate.capacity)
+        _log.event(
+            "leadership acquired", fence=fence, term=term, capacity=candidate.capacity
+        )
         generation = self._generation
         self._loop.after(RENEW_INTERVAL_MS, lambda: self._renew(generation))
         self._on_leadership_acquired(fence, term, previous_fence)
 
     def _stop_leading(self, reason: str) -> None:
-        _log.event("leads no more", fence=self.fence, reason=reason)
+        _log.event("stopped leading", fence=self.fence, reason=reason)
         self.fence = 0
         self._lease = 0
         self._generation += 1
@@ -299,7 +318,7 @@
                 self._valid_until_ms = sent_ms + ttl_ms - LEASE_SAFETY_MARGIN_MS
                 self._loop.after(RENEW_INTERVAL_MS, lambda: self._renew(generation))
             elif reply.outcome is Outcome.ABSENT:
-                self._stop_leading("the lease has ended")
+                self._stop_leading("the lease has expired")
             else:
                 self._loop.after(RENEW_RETRY_MS, lambda: self._renew(generation))
 
@@ -311,5 +330,7 @@
         row = json.loads(item.value or b"")
         return Holder(str(row["process"]), str(row["address"]), item.revision)
     except (KeyError, TypeError, ValueError) as error:
-        _log.warning("unreadable leader record", error=repr(error))
+        _log.warning(
+            "leader record cannot be decoded; leader unknown", error=repr(error)
+        )
         return None
--- a/src/cranberrywheel/platform/executors.py
+++ b/src/cranberrywheel/platform/executors.py
@@ -293,7 +293,7 @@
                 done({}, 0)
 
         data = json.dumps(body).encode()
-        timeout_ms = CALL_TIMEOUT_MS * 4  # it serves calls of one machine in turn
+        timeout_ms = CALL_TIMEOUT_MS * 4  # calls from one machine are served serially
         request = HttpRequest(
             "POST", self._address, "/api/advise", data, timeout_ms=timeout_ms
         )
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,7 @@
-"""Who takes a free lead, and who leaves it, on a virtual store."""
+"""Which candidate acquires a vacant leadership, and which hands it over.
+
+The store is virtual.
+"""
 
 import typing as t
 
@@ -15,80 +18,91 @@
 SMALL = scheduling_capacity(0.516, 5)
 
 
-class Contest:
-    """Candidates of given capacities that compete for one lead."""
+class Election:
+    """Candidates with the given capacities that compete for one leadership."""
 
     def __init__(self, *capacities: float) -> None:
         self.loop = VirtualLoop()
         self.store = VirtualStore(self.loop)
-        self.able = [True] * len(capacities)
-        self.rows = [
+        self.can_lead = [True] * len(capacities)
+        self.candidates = [
             Leadership(
                 t.cast(t.Any, self.loop),
                 self.store.as_store(),
                 Candidate(f"p{index}", f"a{index}", capacity),
                 lambda index=index: max(
-                    (c for i, c in enumerate(capacities) if i != index), default=0.0
+                    (
+                        other
+                        for position, other in enumerate(capacities)
+                        if position != index
+                    ),
+                    default=0.0,
                 ),
-                lambda index=index: self.able[index],
+                lambda index=index: self.can_lead[index],
                 lambda *_: None,
                 lambda: None,
             )
             for index, capacity in enumerate(capacities)
         ]
-        for row in self.rows:
-            row.start()
-
-    def leaders(self) -> list[int]:
-        """Numbers of the candidates that lead."""
-        return [index for index, row in enumerate(self.rows) if row.is_leader]
+        for candidate in self.candidates:
+            candidate.start()
+
+    def leading_indexes(self) -> list[int]:
+        """Return the indexes of the candidates that lead."""
+        return [
+            index
+            for index, candidate in enumerate(self.candidates)
+            if candidate.is_leader
+        ]
 
 
-def test_larger_machine_takes_the_first_lead():
-    """A machine of half a core and 5 Mbit/s leads from the start and serves a tenth
-    of the load (mlr-clyde-grown scale-1: LOST 880, MIXED 11)."""
-    contest = Contest(SMALL, SMALL, LARGE)
-    contest.loop.run_for(500)
-    assert contest.leaders() == [2]
+def test_larger_machine_acquires_the_first_leadership():
+    """Guards against a machine of half a core and 5 Mbit/s that leads from the start
+    and serves a tenth of the load (scenario mlr-clyde-grown scale-1: LOST 880,
+    MIXED 11)."""
+    election = Election(SMALL, SMALL, LARGE)
+    election.loop.run_for(500)
+    assert election.leading_indexes() == [2]
 
 
-def test_smaller_machine_leads_when_no_larger_one_takes_the_lead():
-    """Nobody leads, since all wait for a machine that cannot."""
-    contest = Contest(SMALL, LARGE)
-    contest.able[1] = False
-    contest.loop.run_for(LARGER_CANDIDATE_DELAY_MS)
-    assert contest.leaders() == []
-    contest.loop.run_for(1_500)
-    assert contest.leaders() == [0]
+def test_smaller_machine_leads_when_no_larger_one_can():
+    """Guards against no leader because all wait for a machine that cannot lead."""
+    election = Election(SMALL, LARGE)
+    election.can_lead[1] = False
+    election.loop.run_for(LARGER_CANDIDATE_DELAY_MS)
+    assert election.leading_indexes() == []
+    election.loop.run_for(1_500)
+    assert election.leading_indexes() == [0]
 
 
 def test_smaller_machine_hands_over_once_a_larger_one_can_lead():
-    """A small machine that got the lead in a bad moment keeps it all day."""
-    contest = Contest(SMALL, LARGE)
-    contest.able[1] = False
-    contest.loop.run_for(3_000)
-    small, large = contest.rows
+    """Guards against a small machine that keeps the leadership for good."""
+    election = Election(SMALL, LARGE)
+    election.can_lead[1] = False
+    election.loop.run_for(3_000)
+    small, large = election.candidates
     assert small.is_leader and not small.should_yield
-    contest.able[1] = True
-    contest.loop.run_for(MIN_LEADERSHIP_MS)
+    election.can_lead[1] = True
+    election.loop.run_for(MIN_LEADERSHIP_MS)
     assert small.should_yield
     small.release(lambda: b"{}", "a larger machine can lead")
-    contest.loop.run_for(300)
-    assert contest.leaders() == [1] and not large.should_yield
-
-
-def test_yielding_is_repeated_less_often_when_nobody_takes_the_lead():
-    """A small machine that gives the lead up every few seconds for nothing."""
-    contest = Contest(SMALL, LARGE)
-    contest.able[1] = False
-    contest.loop.run_for(3_000 + MIN_LEADERSHIP_MS)
-    contest.rows[0].release(lambda: b"{}", "a larger machine can lead")
-    contest.loop.run_for(3_000 + MIN_LEADERSHIP_MS)
-    assert contest.leaders() == [0] and not contest.rows[0].should_yield
-
-
-def test_machines_of_one_size_lead_at_once():
-    """A pause for machines that nobody is larger than."""
-    contest = Contest(SMALL, SMALL)
-    contest.loop.run_for(1_500)
-    assert len(contest.leaders()) == 1
+    election.loop.run_for(300)
+    assert election.leading_indexes() == [1] and not large.should_yield
+
+
+def test_handover_is_repeated_less_often_when_no_larger_machine_leads():
+    """Guards against a small machine that releases the leadership every few seconds
+    although no other can lead."""
+    election = Election(SMALL, LARGE)
+    election.can_lead[1] = False
+    election.loop.run_for(3_000 + MIN_LEADERSHIP_MS)
+    election.candidates[0].release(lambda: b"{}", "a larger machine can lead")
+    election.loop.run_for(3_000 + MIN_LEADERSHIP_MS)
+    assert election.leading_indexes() == [0] and not election.candidates[0].should_yield
+
+
+def test_machines_of_equal_size_lead_without_delay():
+    """Guards against an acquisition delay for machines without a larger rival."""
+    election = Election(SMALL, SMALL)
+    election.loop.run_for(1_500)
+    assert len(election.leading_indexes()) == 1
