--- a/src/cranberrywheel/node/__init__.py
+++ b/src/cranberrywheel/node/__init__.py
@@ -1,1 +1,1 @@
-"""One process on the platform: its tasks, their wiring and its start and stop."""
+"""One process on the platform: its components, their wiring, its start and stop."""
--- a/src/cranberrywheel/node/keys.py
+++ b/src/cranberrywheel/node/keys.py
@@ -1,24 +1,24 @@
-"""Keys of the records that the product keeps in the store."""
+"""Keys of the records in the store, and how they are composed."""
 
-#: Holder of the leadership, under the holder's lease.
+#: Process that leads; the record is bound to its lease.
 LEADER_KEY = "cw/leader"
-#: Number of the last leadership; outlives its holder.
+#: Number of the latest leadership; not bound to a lease.
 TERM_KEY = "cw/term"
-#: Runs that the last leader accounted for when it gave the leadership up.
+#: Handover record: the runs that a leader listed when it released the leadership.
 HANDOVER_KEY = "cw/handover"
-#: Entry instances, each under its own lease.
+#: Entry instances; each record is bound to the lease of its instance.
 MEMBER_PREFIX = "cw/m/"
-#: Executors on which an earlier leader may have started something.
+#: Executors on which an earlier leader may have started runs.
 EXECUTOR_PREFIX = "cw/e/"
-#: Submissions with what belongs to them.
+#: Submissions; records that belong to one add a suffix to its key.
 SUBMISSION_PREFIX = "cw/j/"
 PROGRESS_SUFFIX = "/p"
 FINAL_SUFFIX = "/f"
 CANCEL_SUFFIX = "/x"
-#: Progress of waves, so that a new leader knows which machines are done.
-WAVE_PREFIX = "cw/w/"
+#: Progress of maintenance waves, from which a new leader learns the completed machines.
+WAVE_PROGRESS_PREFIX = "cw/w/"
 
-#: Pool to which each machine belongs when no queue has its turn.
+#: Home pool of each machine, in which it is while no queue has a burst.
 HOME_POOLS_KEY = "cw/homes"
 
 
@@ -28,6 +28,6 @@
 
 
 def split_submission_key(key: str) -> tuple[str, str]:
-    """Split a key under ``SUBMISSION_PREFIX`` into id and suffix."""
+    """Split a key under ``SUBMISSION_PREFIX`` into submission id and suffix."""
     submission_id, slash, rest = key[len(SUBMISSION_PREFIX) :].partition("/")
     return submission_id, slash + rest
--- a/src/cranberrywheel/node/leadership.py
+++ b/src/cranberrywheel/node/leadership.py
@@ -22,9 +22,9 @@
 RENEW_RETRY_MS = 5
 #: The leader stops this long before its lease can expire in the store.
 LEASE_SAFETY_MARGIN_MS = 150
-#: Processor and link with which a machine has full capacity for the scheduler. In the
-#: largest known deployment, with 180 executors, the scheduler uses up to half a core and
-#: 10 Mbit/s during a burst.
+#: Processor and link with which a machine has full capacity for the scheduler, which
+#: uses up to half a core and 10 Mbit/s during a burst in the largest known deployment,
+#: with 180 executors.
 FULL_CAPACITY_CORES = 1.0
 FULL_CAPACITY_LINK_MBPS = 50.0
 #: Acquisition delay of a machine with capacity 0; it falls linearly to 0 at capacity 1.
--- a/src/cranberrywheel/node/maintenance.py
+++ b/src/cranberrywheel/node/maintenance.py
@@ -1,12 +1,12 @@
-"""Carries out the upkeep of machines while this process leads."""
+"""Maintenance of machines, which the leader carries out in waves."""
 
 import json
 import typing as t
 
 from cranberrywheel.connection.http_loop import HttpLoop
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.node.keys import LEADER_KEY, WAVE_PREFIX
-from cranberrywheel.node.pool_moves import PoolMoves
+from cranberrywheel.node.keys import LEADER_KEY, WAVE_PROGRESS_PREFIX
+from cranberrywheel.node.pool_moves import PoolMoveController
 from cranberrywheel.node.watch import PrefixWatch
 from cranberrywheel.platform import machines as wire
 from cranberrywheel.platform.store import Item, Store, Write
@@ -21,18 +21,18 @@
     runs_to_move,
 )
 
-#: Time between two looks at the machines while a wave is open.
-INTERVAL_MS = 400
-#: Pause before an order that got no answer is repeated.
+#: Interval between steps, which each read the list of machines.
+STEP_INTERVAL_MS = 400
+#: Delay before an order or a store call that got no answer is repeated.
 RETRY_MS = 700
 
 _log = PartLogger("duties")
 
 
 class MaintenanceController:
-    """Upkeep of the waves that operators ask for.
+    """Carries out the maintenance waves that operators request, and pool moves.
 
-    :param is_valid: whether this process certainly leads at this moment.
+    :param has_valid_lease: returns whether this process certainly leads at this moment.
     """
 
     def __init__(
@@ -48,19 +48,19 @@
         self._client = client
         self._scheduler = scheduler
         self._has_valid_lease = has_valid_lease
-        self._states_by_key: dict[str, WaveState] = {}
-        self._recorded: dict[str, set[str]] = {}
-        self._machines_by_id: dict[str, Machine] = {}
+        self._state_by_key: dict[str, WaveState] = {}
+        self._recorded_done_by_key: dict[str, set[str]] = {}
+        self._machine_by_id: dict[str, Machine] = {}
         self._stopped = False
-        # Another leader may have sent an order for a machine just before.
+        # An order that the previous leader sent may still be in effect until then.
         self._first_order_ms = (
             loop.clock.now_ms() + scheduler.bounds.duty_lease_ms + RETRY_MS
         )
-        self._pools = PoolMoves(loop, store, client, scheduler)
-        self._watch = PrefixWatch(loop, store, wire.WAVE_PREFIX, self._on_wave)
+        self._pool_moves = PoolMoveController(loop, store, client, scheduler)
+        self._wave_watch = PrefixWatch(loop, store, wire.WAVE_PREFIX, self._on_wave)
 
     def start(self) -> None:
-        """Read what earlier leaders did, then follow the waves."""
+        """Load the progress recorded by earlier leaders, then watch the waves."""
 
         def on_recorded(reply: t.Any) -> None:
             if self._stopped:
@@ -69,82 +69,84 @@
                 self._loop.after(RETRY_MS, self.start)
                 return
             for item in reply.items:
-                key = wire.WAVE_PREFIX + item.key[len(WAVE_PREFIX) :]
-                self._recorded[key] = set(json.loads(item.value or b"[]"))
-            self._watch.start()
-            self._pools.start()
-            self._loop.after(INTERVAL_MS, self._step)
+                key = wire.WAVE_PREFIX + item.key[len(WAVE_PROGRESS_PREFIX) :]
+                self._recorded_done_by_key[key] = set(json.loads(item.value or b"[]"))
+            self._wave_watch.start()
+            self._pool_moves.start()
+            self._loop.after(STEP_INTERVAL_MS, self._on_timer)
 
-        self._store.read_all(WAVE_PREFIX, on_recorded)
+        self._store.read_all(WAVE_PROGRESS_PREFIX, on_recorded)
 
     def stop(self) -> None:
-        """Order nothing any more."""
+        """Send no further orders."""
         self._stopped = True
-        self._watch.stop()
+        self._wave_watch.stop()
 
     def _on_wave(self, item: Item) -> None:
         if item.value is None:
-            self._states_by_key.pop(item.key, None)
+            self._state_by_key.pop(item.key, None)
             return
         wave = wire.decode_wave(item.value)
         if wave is None:
             return
         state = WaveState(wave, self._loop.clock.now_ms())
-        state.done = set(self._recorded.get(item.key, ()))
-        self._states_by_key[item.key] = state
+        state.done = set(self._recorded_done_by_key.get(item.key, ()))
+        self._state_by_key[item.key] = state
         self._scheduler.upkeep_due.update(state.left())
         _log.event(
-            "wave",
+            "maintenance wave received",
             wave=wave.number,
             machines=len(wave.machines),
             at_once=wave.at_once,
             duration_ms=wave.duration_ms,
         )
 
-    def _step(self) -> None:
+    def _on_timer(self) -> None:
         if self._stopped:
             return
-        self._loop.after(INTERVAL_MS, self._step)
+        self._loop.after(STEP_INTERVAL_MS, self._on_timer)
         self._client.read_all(self._on_machines)
 
     def _on_machines(self, machines: list[Machine] | None) -> None:
         if machines is None or self._stopped:
             return
-        self._machines_by_id = {machine.id: machine for machine in machines}
+        self._machine_by_id = {machine.id: machine for machine in machines}
         now_ms = self._loop.clock.now_ms()
         if now_ms >= self._first_order_ms and self._has_valid_lease():
             reserved = {
                 machine
-                for state in self._states_by_key.values()
+                for state in self._state_by_key.values()
                 for machine in state.left()
             }
-            self._pools.advance(machines, self._executors_by_machine(), reserved)
-        for key, state in self._states_by_key.items():
+            self._pool_moves.advance(
+                machines, self._map_executors_by_machine(), reserved
+            )
+        for key, state in self._state_by_key.items():
             if not state.completed:
-                self._advance(key, state)
+                self._advance_wave(key, state)
 
-    def _executors_by_machine(self) -> dict[str, Executor]:
+    def _map_executors_by_machine(self) -> dict[str, Executor]:
         return {
             executor.entry.machine: executor
             for executor in self._scheduler.executors_by_id.values()
             if executor.registered
         }
 
-    def _advance(self, key: str, state: WaveState) -> None:
+    def _advance_wave(self, key: str, state: WaveState) -> None:
         now_ms = self._loop.clock.now_ms()
-        executors = self._executors_by_machine()
+        executors = self._map_executors_by_machine()
         if now_ms < self._first_order_ms or not self._has_valid_lease():
             return
         for machine_id in choose_machines(
             state,
-            self._machines_by_id,
+            self._machine_by_id,
             executors,
             pressure_by_service(self._scheduler),
             self._scheduler.bounds.upkeep_ms,
             now_ms,
         ):
             state.emptying_since_ms[machine_id] = now_ms
-            _log.event("emptying", wave=state.wave.number, machine=machine_id)
+            _log.event("draining machine", wave=state.wave.number, machine=machine_id)
         for machine_id, since_ms in list(state.emptying_since_ms.items()):
             executor = executors.get(machine_id)
             if executor is not None:
@@ -155,36 +157,36 @@
                     if other.entry.service == executor.entry.service
                 ]
                 for run in runs_to_move(executor, pool, now_ms):
-                    self._scheduler.stop_run(run, now_ms, "planned upkeep")
+                    self._scheduler.stop_run(run, now_ms, "planned maintenance")
             if machine_id not in state.ordered and is_empty_enough(
                 executor, since_ms, now_ms
             ):
-                self._order(key, state, machine_id)
+                self._order_maintenance(key, state, machine_id)
         self._log_waiting(state)
-        state.note_present(self._machines_by_id, now_ms)
+        state.note_present(self._machine_by_id, now_ms)
         if state.is_finished(now_ms) and not state.completed:
             state.completed = True
-        self._report(key, state)
+        self._store_status(key, state)
 
     def _log_waiting(self, state: WaveState) -> None:
-        """Say which machines the wave waits for, when that changes."""
+        """Log the machines that a wave waits for, if they have changed."""
         waiting = {
             machine_id: machine.state.value if machine else "gone"
             for machine_id in state.left()
-            if not (machine := self._machines_by_id.get(machine_id)) or not machine.up
+            if not (machine := self._machine_by_id.get(machine_id)) or not machine.up
         }
         if waiting != state.logged_waiting:
             state.logged_waiting = waiting
             text = ",".join(f"{key}:{value}" for key, value in waiting.items())
-            _log.event("wave waits", wave=state.wave.number, machines=text)
+            _log.event("wave waits for machines", wave=state.wave.number, machines=text)
 
-    def _order(self, key: str, state: WaveState, machine_id: str) -> None:
+    def _order_maintenance(self, key: str, state: WaveState, machine_id: str) -> None:
         state.ordered.add(machine_id)
-        executor = self._executors_by_machine().get(machine_id)
+        executor = self._map_executors_by_machine().get(machine_id)
 
         def on_reply(verdict: DutyVerdict) -> None:
             _log.event(
-                "upkeep ordered",
+                "maintenance ordered",
                 wave=state.wave.number,
                 machine=machine_id,
                 outcome=verdict.value,
@@ -196,27 +198,27 @@
                 self._scheduler.upkeep_due.discard(machine_id)
                 if verdict is DutyVerdict.OK and executor is not None:
                     self._scheduler.mark_dead(executor.id, self._loop.clock.now_ms())
-                self._record(key, state)
+                self._store_progress(key, state)
             elif verdict is DutyVerdict.BUSY:
-                self._release(state, machine_id)
+                self._stop_draining(state, machine_id)
             self._loop.after(RETRY_MS, lambda: state.ordered.discard(machine_id))
 
         self._client.begin_maintenance(
             machine_id, state.wave.number, self._scheduler.fence, on_reply
         )
 
-    def _release(self, state: WaveState, machine_id: str) -> None:
+    def _stop_draining(self, state: WaveState, machine_id: str) -> None:
         state.emptying_since_ms.pop(machine_id, None)
-        executor = self._executors_by_machine().get(machine_id)
+        executor = self._map_executors_by_machine().get(machine_id)
         if executor is not None:
             executor.cordoned = False
 
-    def _record(self, key: str, state: WaveState) -> None:
+    def _store_progress(self, key: str, state: WaveState) -> None:
         name = key[len(wire.WAVE_PREFIX) :]
         value = json.dumps(sorted(state.done)).encode()
-        self._write(WAVE_PREFIX + name, value)
+        self._write(WAVE_PROGRESS_PREFIX + name, value)
 
-    def _report(self, key: str, state: WaveState) -> None:
+    def _store_status(self, key: str, state: WaveState) -> None:
         name = key[len(wire.WAVE_PREFIX) :]
         value = wire.encode_wave_status(state.completed)
         if state.reported != value:
--- a/src/cranberrywheel/node/metrics.py
+++ b/src/cranberrywheel/node/metrics.py
@@ -1,16 +1,16 @@
-"""Counters and histograms of a node, served as text."""
+"""Metrics of a process in the Prometheus text format."""
 
 import typing as t
 
 import prometheus_client as prometheus
 
-#: Upper bounds of latency buckets in seconds: a store call takes 4 to 8 ms, callers
-#: wait for at most a few seconds.
+#: Upper bounds of the latency buckets in seconds: a store call takes 4 to 8 ms, and
+#: callers wait for at most a few seconds.
 LATENCY_BUCKETS_S = (0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 3.0)
 
 
 class Metrics:
-    """Metrics of one process."""
+    """Metrics registry of one process."""
 
     def __init__(self) -> None:
         self.registry = prometheus.CollectorRegistry()
@@ -28,15 +28,15 @@
         )
 
     def record_answer(self, method: str, status: int, seconds: float) -> None:
-        """Count one answer."""
+        """Count an answer to a caller and observe its latency."""
         self._answers.labels(method, str(status)).inc()
         self._latency.observe(seconds)
 
-    def gauge(self, name: str, text: str, read: t.Callable[[], float]) -> None:
-        """Serve a value that is read when it is asked for."""
-        gauge = prometheus.Gauge(name, text, registry=self.registry)
+    def gauge(self, name: str, help_text: str, read: t.Callable[[], float]) -> None:
+        """Add a gauge whose value is read at each scrape."""
+        gauge = prometheus.Gauge(name, help_text, registry=self.registry)
         gauge.set_function(read)
 
     def render(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the text format."""
         return prometheus.generate_latest(self.registry)
--- a/src/cranberrywheel/node/pool_moves.py
+++ b/src/cranberrywheel/node/pool_moves.py
@@ -1,4 +1,4 @@
-"""Carries out moves of machines between pools while this process leads."""
+"""Moves of machines between pools, which the leader carries out."""
 
 import json
 import typing as t
@@ -19,15 +19,16 @@
 from cranberrywheel.submission.scheduler import Scheduler
 from cranberrywheel.submission.upkeep import runs_to_move
 
-#: Time after which a move that never shows in the list is forgotten.
+#: Time after which a move that does not appear in the list of machines is abandoned.
 MOVE_TIMEOUT_MS = 6_000
+#: Delay before a failed read from the store is repeated.
 RETRY_MS = 700
 
 _log = PartLogger("pools")
 
 
-class PoolMoves:
-    """Lends machines to the pools whose queues have their turn."""
+class PoolMoveController:
+    """Assigns machines temporarily to pools whose queues have a burst."""
 
     def __init__(
         self,
@@ -42,20 +43,20 @@
         self._scheduler = scheduler
         self._state = PoolState()
         self._loaded = False
-        self._stored_homes = 0
-        self._sent_ms: dict[str, int] = {}
+        self._stored_home_count = 0
+        self._ordered_ms_by_machine: dict[str, int] = {}
 
     def start(self) -> None:
-        """Read which pool each machine belongs to."""
+        """Load the home pool of each machine."""
 
         def on_reply(reply: StoreReply) -> None:
             if not reply.outcome.is_answer:
                 self._loop.after(RETRY_MS, self.start)
                 return
             if reply.outcome is Outcome.OK:
-                homes = json.loads(reply.items[0].value or b"{}")
-                self._state.home_by_machine.update(homes)
-                self._stored_homes = len(homes)
+                home_by_machine = json.loads(reply.items[0].value or b"{}")
+                self._state.home_by_machine.update(home_by_machine)
+                self._stored_home_count = len(home_by_machine)
             self._loaded = True
 
         self._store.read(HOME_POOLS_KEY, on_reply)
@@ -66,22 +67,22 @@
         executors_by_machine: t.Mapping[str, Executor],
         reserved: t.Container[str],
     ) -> None:
-        """Decide and order moves.
+        """Decide which machines to move, and drain or move them.
 
-        :param reserved: machines that a wave needs where they are.
+        :param reserved: machines that a maintenance wave needs in their present pool.
         """
         configuration = self._scheduler.configuration
         if not self._loaded or configuration is None:
             return
         now_ms = self._loop.clock.now_ms()
         state = self._state
-        for machine_id, sent_ms in list(self._sent_ms.items()):
-            if now_ms - sent_ms > MOVE_TIMEOUT_MS:
+        for machine_id, ordered_ms in list(self._ordered_ms_by_machine.items()):
+            if now_ms - ordered_ms > MOVE_TIMEOUT_MS:
                 state.moving.pop(machine_id, None)
-                del self._sent_ms[machine_id]
+                del self._ordered_ms_by_machine[machine_id]
         standby = {s.name for s in configuration.services_by_name.values() if s.standby}
 
-        def is_empty(machine: Machine) -> bool:
+        def is_idle(machine: Machine) -> bool:
             executor = executors_by_machine.get(machine.id)
             return executor is None or not executor.runs
 
@@ -91,18 +92,18 @@
             standby,
             demand_by_service(self._scheduler),
             reserved,
-            is_empty,
+            is_idle,
             now_ms,
         )
         self._store_homes()
         lent = {machine.id for machine in machines if is_lent(state, machine)}
         self._scheduler.lent_machines = lent | set(state.moving)
         for machine_id in decision.empty:
-            self._empty(executors_by_machine.get(machine_id), now_ms)
+            self._drain(executors_by_machine.get(machine_id), now_ms)
         for machine_id, pool in decision.moves:
-            self._order(machine_id, pool, executors_by_machine.get(machine_id))
+            self._order_move(machine_id, pool, executors_by_machine.get(machine_id))
 
-    def _empty(self, executor: Executor | None, now_ms: int) -> None:
+    def _drain(self, executor: Executor | None, now_ms: int) -> None:
         if executor is None:
             return
         executor.cordoned = True
@@ -112,16 +113,18 @@
             if other.entry.service == executor.entry.service
         ]
         for run in runs_to_move(executor, pool, now_ms):
-            self._scheduler.stop_run(run, now_ms, "its machine moves")
+            self._scheduler.stop_run(run, now_ms, "its machine moves to another pool")
 
-    def _order(self, machine_id: str, pool: str, executor: Executor | None) -> None:
-        self._sent_ms[machine_id] = self._loop.clock.now_ms()
+    def _order_move(
+        self, machine_id: str, pool: str, executor: Executor | None
+    ) -> None:
+        self._ordered_ms_by_machine[machine_id] = self._loop.clock.now_ms()
         if executor is not None:
             executor.cordoned = True
 
         def on_reply(verdict: DutyVerdict) -> None:
             _log.event(
-                "machine moved",
+                "machine move ordered",
                 machine=machine_id,
                 pool=pool,
                 outcome=verdict.value,
@@ -138,17 +141,17 @@
         self._client.move(machine_id, pool, self._scheduler.fence, on_reply)
 
     def _store_homes(self) -> None:
-        homes = self._state.home_by_machine
-        if len(homes) == self._stored_homes:
+        home_by_machine = self._state.home_by_machine
+        if len(home_by_machine) == self._stored_home_count:
             return
-        self._stored_homes = len(homes)
+        self._stored_home_count = len(home_by_machine)
         write = Write(
             ((LEADER_KEY, self._scheduler.fence),),
-            ((HOME_POOLS_KEY, json.dumps(homes).encode(), 0),),
+            ((HOME_POOLS_KEY, json.dumps(home_by_machine).encode(), 0),),
         )
 
         def on_reply(reply: StoreReply) -> None:
             if reply.outcome is not Outcome.OK:
-                self._stored_homes = 0  # written again at the next step
+                self._stored_home_count = 0  # written again by the next advance()
 
         self._store.write(write, on_reply)
--- a/src/cranberrywheel/node/watch.py
+++ b/src/cranberrywheel/node/watch.py
@@ -1,4 +1,4 @@
-"""A view of all items under a prefix of the store, kept current by a watch."""
+"""Reports the changes of all items under a key prefix of the store."""
 
 import typing as t
 
@@ -6,20 +6,20 @@
 from cranberrywheel.logs import PartLogger
 from cranberrywheel.platform.store import Item, Outcome, Store, StoreReply
 
-#: Longest silence of one watch call. A connection that went silent is noticed after
-#: this time and the store client's margin.
-WAIT_MS = 1_000
-#: Pause after a call that got no answer.
+#: Longest time for which the store holds a watch call open. A broken connection is
+#: detected after this time plus the margin of the store client.
+WATCH_WAIT_MS = 1_000
+#: Delay before a failed call is repeated.
 RETRY_MS = 250
 
 _log = PartLogger("watch")
 
 
 class PrefixWatch:
-    """Reports each change of an item once, in order.
+    """Reads all items under a prefix, then reports each change once and in order.
 
-    :param on_item: called with each new or deleted item.
-    :param on_ready: called once when the first full read is done.
+    :param on_item: called with each new, changed or deleted item.
+    :param on_ready: called once after the first complete read.
     """
 
     def __init__(
@@ -36,20 +36,20 @@
         self._on_item = on_item
         self._on_ready = on_ready
         self._revision_by_key: dict[str, int] = {}
-        self._after = 0
+        self._last_revision = 0
         self._ready = False
         self._stopped = False
         self._failing = False
 
     def start(self) -> None:
-        """Read everything, then follow the changes."""
-        self._store.read_all(self._prefix, self._on_all)
+        """Read all items, then watch for changes."""
+        self._store.read_all(self._prefix, self._on_read)
 
     def stop(self) -> None:
-        """Report nothing any more."""
+        """Report no further changes."""
         self._stopped = True
 
-    def _on_all(self, reply: StoreReply) -> None:
+    def _on_read(self, reply: StoreReply) -> None:
         if self._stopped:
             return
         if reply.outcome is not Outcome.OK:
@@ -61,14 +61,16 @@
             self._report(Item(key, None, reply.revision))
         for item in reply.items:
             self._report(item)
-        self._after = reply.revision
+        self._last_revision = reply.revision
         if not self._ready:
             self._ready = True
             self._on_ready()
-        self._follow()
+        self._watch_changes()
 
-    def _follow(self) -> None:
-        self._store.watch(self._prefix, self._after, WAIT_MS, self._on_events)
+    def _watch_changes(self) -> None:
+        self._store.watch(
+            self._prefix, self._last_revision, WATCH_WAIT_MS, self._on_events
+        )
 
     def _on_events(self, reply: StoreReply) -> None:
         if self._stopped:
@@ -77,29 +79,33 @@
             self._failing = False
             for item in reply.items:
                 self._report(item)
-            self._after = max(self._after, reply.revision)
-            self._follow()
+            self._last_revision = max(self._last_revision, reply.revision)
+            self._watch_changes()
         elif reply.outcome is Outcome.COMPACTED:
-            _log.event("history is gone; reading again", prefix=self._prefix)
+            _log.event(
+                "store history compacted; reading all items again", prefix=self._prefix
+            )
             self.start()
         else:
-            # Changes may have been missed for longer than the history holds.
+            # Changes may have been compacted meanwhile, so everything is read again.
             self._retry(self.start, reply)
 
-    def _retry(self, function: t.Callable[[], None], reply: StoreReply) -> None:
+    def _retry(self, action: t.Callable[[], None], reply: StoreReply) -> None:
         if not self._failing:
             self._failing = True
             _log.warning(
-                "watch interrupted", prefix=self._prefix, outcome=reply.outcome.value
+                "store read or watch failed; reading all items again",
+                prefix=self._prefix,
+                outcome=reply.outcome.value,
             )
-        self._loop.after(RETRY_MS, function)
+        self._loop.after(RETRY_MS, action)
 
     def _report(self, item: Item) -> None:
-        known = self._revision_by_key.get(item.key, 0)
-        if item.revision <= known:
+        known_revision = self._revision_by_key.get(item.key, 0)
+        if item.revision <= known_revision:
             return
         if item.value is None:
-            if not known:
+            if not known_revision:
                 return
             del self._revision_by_key[item.key]
         else:
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -172,7 +172,7 @@
     for executor in executors:
         executor.cordoned = True
         for run in runs_to_move(executor, executors, now_ms):
-            world.scheduler.stop_run(run, now_ms, "planned upkeep")
+            world.scheduler.stop_run(run, now_ms, "planned maintenance")
             stopped += 1
         executor.cordoned = False
     assert stopped == 1
