--- a/src/cranberrywheel/node/caller_api.py
+++ b/src/cranberrywheel/node/caller_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for callers: hand in, ask, cancel, and count what waits."""
+"""HTTP interface for callers: submit, query, cancel, and count waiting submissions."""
 
 import re
 import time
@@ -14,12 +14,12 @@
 from cranberrywheel.platform import callers as wire
 from cranberrywheel.submission.model import Configuration, Queue, State, Submission
 
-#: Time kept back of a caller's wait for the way of the answer.
+#: Part of a caller's wait that is reserved for the transfer of the response.
 ANSWER_MARGIN_MS = 250
-#: Wait of callers that name no limit.
+#: Wait of callers whose request names no limit.
 DEFAULT_CALLER_WAIT_MS = 3_000
-#: Seconds after which a refused caller may come back: a take-over and most faults of
-#: the store's connection are over by then.
+#: Value of ``Retry-After`` in seconds: a takeover and most faults of the connection to
+#: the store are over by then.
 RETRY_AFTER_S = 1
 
 _SUBMISSION_ID = re.compile(r"[0-9a-f]{16}", re.IGNORECASE)
@@ -28,26 +28,35 @@
 
 
 class Backend(t.Protocol):
-    """What the front needs of the node; all futures complete on other threads."""
+    """Interface of the node to this API; all futures complete on other threads."""
 
     configuration: Configuration | None
     stopping: bool
 
     def submit(self, submission: Submission, wait_ms: int) -> "Future[Acceptance]":
-        """Store a submission."""
+        """Store a submission.
+
+        :param wait_ms: time for which the caller waits, in milliseconds.
+        """
 
     def find_state(self, submission_id: str, wait_ms: int) -> "Future[State | None]":
-        """Find a submission's state; ``None`` if there is no such submission."""
+        """Read the state of a submission; ``None`` if it does not exist."""
 
     def cancel(self, submission_id: str, wait_ms: int) -> "Future[bool]":
-        """Cancel a submission; false if there is none."""
+        """Cancel a submission; the result is false if it does not exist."""
 
     def count_waiting(self, queue: Queue) -> "Future[int]":
-        """Count a queue's submissions of which no task has started."""
+        """Count the submissions of a queue without a started task."""
 
 
 class _Rejection(Exception):
-    """An answer other than the one that the caller asked for."""
+    """Response to a request that is rejected.
+
+    :param status: HTTP status code.
+    :param kind: problem title, which callers match.
+    :param outcome: what happened to the request: ``not-run`` or ``unknown``.
+    :param detail: reason for the caller, or ``""``.
+    """
 
     def __init__(self, status: int, kind: str, outcome: str, detail: str = "") -> None:
         super().__init__(kind)
@@ -60,8 +69,8 @@
 class CallerApi:
     """WSGI application for callers.
 
-    :param backend: the node.
-    :param metrics: counters of answers.
+    :param backend: node that stores and reads submissions.
+    :param metrics: metrics in which each answer is recorded.
     """
 
     def __init__(self, backend: Backend, metrics: Metrics) -> None:
@@ -69,11 +78,11 @@
         self._metrics = metrics
 
     def __call__(self, environ: t.Any, start_response: t.Any) -> t.Any:
-        started = time.monotonic()
+        started_s = time.monotonic()
         request = Request(environ)
         try:
-            queue, path_rest, organisation = self._authorise(request)
-            response = self._handle(request, queue, path_rest, organisation)
+            queue, submission_id, organisation = self._authenticate(request)
+            response = self._handle(request, queue, submission_id, organisation)
         except _Rejection as rejection:
             response = _rejection_response(rejection)
             _log.event(
@@ -89,15 +98,15 @@
             rejection = _Rejection(504, "no-answer-in-time", "unknown")
             response = _rejection_response(rejection)
             _log.warning(
-                "no answer in time",
+                "request timed out",
                 request=request.path.rpartition("/")[2],
                 method=request.method,
-                waited_ms=int((time.monotonic() - started) * 1000),
+                waited_ms=int((time.monotonic() - started_s) * 1000),
             )
         if self._backend.stopping:
             response.headers["Connection"] = "close"
         self._metrics.record_answer(
-            request.method, response.status_code, time.monotonic() - started
+            request.method, response.status_code, time.monotonic() - started_s
         )
         return response(environ, start_response)
 
@@ -105,7 +114,7 @@
         configuration = self._backend.configuration
         return configuration.version if configuration else 0
 
-    def _authorise(self, request: Request) -> tuple[Queue, str, str]:
+    def _authenticate(self, request: Request) -> tuple[Queue, str, str]:
         configuration = self._backend.configuration
         if configuration is None:
             raise _Rejection(503, "no-configuration", "not-run")
@@ -123,25 +132,27 @@
         return queue, request.path[len(queue.prefix) :], organisation
 
     def _handle(
-        self, request: Request, queue: Queue, path_rest: str, organisation: str
+        self, request: Request, queue: Queue, submission_id: str, organisation: str
     ) -> Response:
         wait_ms = _caller_wait_ms(request, queue)
-        if request.method == "GET" and not path_rest:
+        if request.method == "GET" and not submission_id:
             count = self._backend.count_waiting(queue).result(wait_ms / 1000)
             return _json_response(200, wire.encode_queue_length(count))
-        if not _SUBMISSION_ID.fullmatch(path_rest):
-            raise _Rejection(404, "no-such-submission", "not-run", path_rest[:40])
+        if not _SUBMISSION_ID.fullmatch(submission_id):
+            raise _Rejection(404, "no-such-submission", "not-run", submission_id[:40])
         if request.method == "POST":
-            return self._submit(request, queue, path_rest, organisation, wait_ms)
+            return self._submit(request, queue, submission_id, organisation, wait_ms)
         if request.method == "GET":
-            state = self._backend.find_state(path_rest, wait_ms).result(wait_ms / 1000)
+            state = self._backend.find_state(submission_id, wait_ms).result(
+                wait_ms / 1000
+            )
             if state is None:
                 raise _Rejection(410, "no-such-submission", "not-run")
             return _json_response(200, wire.encode_state(state))
         if request.method == "DELETE":
-            if not self._backend.cancel(path_rest, wait_ms).result(wait_ms / 1000):
+            if not self._backend.cancel(submission_id, wait_ms).result(wait_ms / 1000):
                 raise _Rejection(410, "no-such-submission", "not-run")
-            _log.event("cancelled", request=path_rest, queue=queue.name)
+            _log.event("cancelled", request=submission_id, queue=queue.name)
             return _json_response(200, {})
         raise _Rejection(405, "method-not-allowed", "not-run")
 
@@ -186,8 +197,8 @@
 
 
 def _caller_wait_ms(request: Request, queue: Queue) -> int:
-    text = request.headers.get(wire.WAIT_HEADER, "")
-    limit_ms = int(text) if text.isdecimal() else DEFAULT_CALLER_WAIT_MS
+    header = request.headers.get(wire.WAIT_HEADER, "")
+    limit_ms = int(header) if header.isdecimal() else DEFAULT_CALLER_WAIT_MS
     if queue.timeout_ms:
         limit_ms = min(limit_ms, queue.timeout_ms)
     return max(100, limit_ms - ANSWER_MARGIN_MS)
--- a/src/cranberrywheel/node/leader.py
+++ b/src/cranberrywheel/node/leader.py
@@ -1,4 +1,4 @@
-"""Drives the scheduler while this process leads: calls, records, time."""
+"""Drives the scheduler while this process leads: executor calls, records, timers."""
 
 import collections
 import time
@@ -45,24 +45,25 @@
 from cranberrywheel.submission.scheduler import Scheduler
 from cranberrywheel.submission.state import RUN_LEASE_MS
 
-#: Longest wait of a look; with the margin of its call a lost look is noticed and made
-#: good well within the lease.
-LOOK_WAIT_MS = 900
-#: Pause between looks, so that ends which come together are fetched together.
-LOOK_GAP_MS = 15
-#: Pause after a look that got no answer.
-LOOK_RETRY_MS = 300
-TICK_MS = 100
-#: Shortest time between two passes over the waiting work, so that ends which come
-#: together are followed by one pass.
-PASS_GAP_MS = 3
-#: Submissions in one write: each takes a condition and a put, or a condition, a put
-#: and three deletions, of 32 entries with the leader's condition.
-PROGRESS_BATCH = 6
-#: Progress writes under way at once.
-MAX_WRITES = 3
-#: Starts under way at one executor; each needs a connection of its own.
-MAX_STARTS = 2
+#: Longest time for which an executor holds a poll open. With the margin of the call, a
+#: lost poll is detected and repeated well within the lease.
+POLL_WAIT_MS = 900
+#: Delay before the next poll, so that completions in quick succession share one reply.
+POLL_DELAY_MS = 15
+#: Delay before a failed poll or store call is repeated.
+RETRY_MS = 300
+#: Interval of the timer that drives timeouts in the scheduler.
+TICK_INTERVAL_MS = 100
+#: Shortest time between two scheduling passes, so that completions in quick succession
+#: lead to one pass.
+MIN_PASS_INTERVAL_MS = 3
+#: Submissions in one write. Each takes a condition and a put, or a condition, a put and
+#: three deletions; with the condition on the leader a write holds at most 32 entries.
+SUBMISSIONS_PER_WRITE = 6
+#: Concurrent progress writes.
+MAX_CONCURRENT_WRITES = 3
+#: Concurrent start calls to one executor; each needs its own connection.
+MAX_CONCURRENT_STARTS = 2
 
 _log = PartLogger("leader")
 
@@ -75,10 +76,14 @@
 class Leader:
     """One leadership of this process. All methods run on the loop's thread.
 
-    :param is_valid: whether nobody else can lead at this moment.
-    :param may_continue: whether runs may be kept although the lease has run out.
-    :param step_down: called with a reason when another leader was seen.
-    :param previous_fence: fence of the leadership before; its account is used.
+    :param advisor: client of the advisor; ``None`` if there is no advisor.
+    :param machines: client of the machine interface; ``None`` if there is none.
+    :param has_valid_lease: returns whether no other process can lead at this moment.
+    :param may_continue_without_store: returns whether runs may continue although the
+        lease has expired.
+    :param step_down: called with a reason when there is a newer leader.
+    :param previous_fence: fencing token of the previous leadership; only a handover
+        record with this token is used.
     """
 
     def __init__(
@@ -105,22 +110,30 @@
         self._step_down = step_down
         self.scheduler = scheduler
         self._stopped = False
-        self._pumping = False
+        self._pass_requested = False
         self._last_pass_ms = 0
-        self._looking: set[str] = set()
-        self._starts: dict[str, int] = {}
-        self._start_queues: dict[str, collections.deque[a.StartRun]] = {}
-        self._writes = 0
-        self._writing: set[str] = set()
-        self._recorded_executors: set[str] = set()
-        self._executors_ready = False
-        self._submissions_ready = False
-        self._early_cancels: set[str] = set()
+        self._polling_ids: set[str] = set()
+        self._start_count_by_executor: dict[str, int] = {}
+        self._start_queue_by_executor: dict[str, collections.deque[a.StartRun]] = {}
+        self._active_writes = 0
+        self._ids_in_write: set[str] = set()
+        self._recorded_executor_ids: set[str] = set()
+        self._executors_loaded = False
+        self._submissions_loaded = False
+        self._cancelled_while_loading: set[str] = set()
         self._executor_watch = PrefixWatch(
-            loop, store, wire.EXECUTOR_PREFIX, self._on_executor, self._on_executors
+            loop,
+            store,
+            wire.EXECUTOR_PREFIX,
+            self._on_executor_item,
+            self._on_executors_loaded,
         )
         self._submission_watch = PrefixWatch(
-            loop, store, SUBMISSION_PREFIX, self._on_record, self._on_submissions
+            loop,
+            store,
+            SUBMISSION_PREFIX,
+            self._on_submission_item,
+            self._on_submissions_loaded,
         )
         self.maintenance: MaintenanceController | None = None
         if machines is not None:
@@ -129,14 +142,14 @@
             )
 
     def start(self) -> None:
-        """Load the state, then decide."""
+        """Load the recorded state, then start scheduling."""
         self._store.read(HANDOVER_KEY, self._on_handover)
 
     def _on_handover(self, reply: StoreReply) -> None:
         if self._stopped:
             return
         if not reply.outcome.is_answer:
-            self._loop.after(LOOK_RETRY_MS, self.start)
+            self._loop.after(RETRY_MS, self.start)
             return
         if reply.outcome is Outcome.OK:
             account = decode_account(reply.items[0].value or b"")
@@ -149,13 +162,13 @@
         self._store.read_all(EXECUTOR_PREFIX, self._on_recorded_executors)
 
     def handover_record(self) -> bytes:
-        """Return the record of all runs for the next leader."""
-        is_complete = self._submissions_ready and self._executors_ready
+        """Return the encoded handover record of all runs for the next leader."""
+        is_complete = self._submissions_loaded and self._executors_loaded
         now_ms = self._loop.clock.now_ms()
         return encode_account(write_account(self.scheduler, is_complete, now_ms))
 
     def stop(self) -> None:
-        """Decide nothing any more."""
+        """Stop scheduling and ignore replies that are still outstanding."""
         self._stopped = True
         self._executor_watch.stop()
         self._submission_watch.stop()
@@ -164,37 +177,37 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether all stored submissions are known."""
-        return self._submissions_ready
+        """Whether all stored submissions have been loaded."""
+        return self._submissions_loaded
 
-    # Loading
+    # Loading of the recorded state
 
     def _on_recorded_executors(self, reply: StoreReply) -> None:
         if self._stopped:
             return
         if reply.outcome is not Outcome.OK:
-            self._loop.after(LOOK_RETRY_MS, self._read_executors)
+            self._loop.after(RETRY_MS, self._read_executors)
             return
         now_ms = self._loop.clock.now_ms()
         for item in reply.items:
             executor_id = item.key[len(EXECUTOR_PREFIX) :]
             entry = wire.decode_executor(executor_id, item.value or b"")
             if entry is not None:
-                self._recorded_executors.add(executor_id)
+                self._recorded_executor_ids.add(executor_id)
                 self.scheduler.put_executor(entry, now_ms, registered=False)
         self._executor_watch.start()
         self._submission_watch.start()
-        self._loop.after(TICK_MS, self._tick)
+        self._loop.after(TICK_INTERVAL_MS, self._tick)
 
-    def _on_executors(self) -> None:
-        self._executors_ready = True
-        self.wake()
+    def _on_executors_loaded(self) -> None:
+        self._executors_loaded = True
+        self.request_pass()
 
-    def _on_submissions(self) -> None:
-        self._submissions_ready = True
+    def _on_submissions_loaded(self) -> None:
+        self._submissions_loaded = True
         scheduler = self.scheduler
         _log.event(
-            "loaded",
+            "leader state loaded",
             live=len(scheduler.live_by_id),
             fence=scheduler.fence,
             handed_over=scheduler.handed_over,
@@ -202,21 +215,21 @@
         )
         take_over(scheduler, self._account, self._loop.clock.now_ms())
         self._account = EMPTY_ACCOUNT
-        for submission_id in self._early_cancels:
+        for submission_id in self._cancelled_while_loading:
             scheduler.cancel(submission_id, self._loop.clock.now_ms())
-        self._early_cancels.clear()
+        self._cancelled_while_loading.clear()
         if self.maintenance:
             self.maintenance.start()
         for executor in list(scheduler.executors_by_id.values()):
-            self._look_if_wanted(executor)
-        self.wake()
+            self._poll_if_needed(executor)
+        self.request_pass()
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Take a newer configuration into force."""
+        """Apply a newer configuration."""
         self.scheduler.set_configuration(configuration)
-        self.wake()
+        self.request_pass()
 
-    def _on_executor(self, item: Item) -> None:
+    def _on_executor_item(self, item: Item) -> None:
         executor_id = item.key[len(wire.EXECUTOR_PREFIX) :]
         now_ms = self._loop.clock.now_ms()
         if item.value is None:
@@ -226,122 +239,135 @@
         if entry is None:
             return
         self.scheduler.put_executor(entry, now_ms)
-        self._look_if_wanted(self.scheduler.executors_by_id[executor_id])
-        if executor_id not in self._recorded_executors:
-            self._recorded_executors.add(executor_id)
-            self._record_executor(item, executor_id)
-        self.wake()
+        self._poll_if_needed(self.scheduler.executors_by_id[executor_id])
+        if executor_id not in self._recorded_executor_ids:
+            self._recorded_executor_ids.add(executor_id)
+            self._store_executor(item, executor_id)
+        self.request_pass()
 
-    def _record_executor(self, item: Item, executor_id: str) -> None:
+    def _store_executor(self, item: Item, executor_id: str) -> None:
         put = (EXECUTOR_PREFIX + executor_id, item.value or b"", 0)
         conditions = ((LEADER_KEY, self.scheduler.fence),)
 
         def on_reply(reply: StoreReply) -> None:
             if not reply.outcome.is_answer and not self._stopped:
                 self._loop.after(
-                    LOOK_RETRY_MS, lambda: self._record_executor(item, executor_id)
+                    RETRY_MS, lambda: self._store_executor(item, executor_id)
                 )
 
         self._store.write(Write(conditions, (put,)), on_reply)
 
-    def _forget_executor(self, executor_id: str) -> None:
-        self._recorded_executors.discard(executor_id)
+    def _delete_executor_record(self, executor_id: str) -> None:
+        self._recorded_executor_ids.discard(executor_id)
         conditions = ((LEADER_KEY, self.scheduler.fence),)
         deletes = (EXECUTOR_PREFIX + executor_id,)
-        # A record that stays only lets the next leader wait for its lease.
+        # If the deletion fails, the next leader waits for the lease of this
+        # executor.
         self._store.write(Write(conditions, (), deletes), lambda reply: None)
 
-    def _on_record(self, item: Item) -> None:
+    def _on_submission_item(self, item: Item) -> None:
         submission_id, suffix = split_submission_key(item.key)
         if item.value is None:
             return
         try:
             self._apply_record(submission_id, suffix, item)
         except ValueError as error:
-            _log.warning("unreadable record", request=submission_id, error=str(error))
+            _log.warning(
+                "submission record cannot be decoded; skipped",
+                request=submission_id,
+                error=str(error),
+            )
 
     def _apply_record(self, submission_id: str, suffix: str, item: Item) -> None:
         value = item.value or b""
         now_ms = self._loop.clock.now_ms()
         scheduler = self.scheduler
         if not suffix:
-            # Pages are sorted by key: a record comes before what belongs to it.
+            # Items are sorted by key, so a submission precedes its other records.
             scheduler.add_submission(
-                decode_submission(value), recovered=not self._submissions_ready
+                decode_submission(value), recovered=not self._submissions_loaded
             )
-            if self._submissions_ready:
-                self.wake()
+            if self._submissions_loaded:
+                self.request_pass()
         elif suffix == CANCEL_SUFFIX:
-            if self._submissions_ready:
+            if self._submissions_loaded:
                 scheduler.cancel(submission_id, now_ms)
-                self.wake()
+                self.request_pass()
             else:
-                self._early_cancels.add(submission_id)
-        elif suffix == PROGRESS_SUFFIX and not self._submissions_ready:
+                self._cancelled_while_loading.add(submission_id)
+        elif suffix == PROGRESS_SUFFIX and not self._submissions_loaded:
             scheduler.restore(submission_id, decode_progress(value), item.revision)
         elif suffix == FINAL_SUFFIX:
             scheduler.final_by_id[submission_id] = decode_final_state(value)
 
-    # Time and orders
+    # Scheduling passes and orders
 
-    def wake(self) -> None:
-        """Decide soon; what happens within a few milliseconds is decided together."""
-        if not self._pumping and not self._stopped:
-            self._pumping = True
-            rest_ms = self._last_pass_ms + PASS_GAP_MS - self._loop.clock.now_ms()
-            self._loop.after(max(0, rest_ms), self._pump)
+    def request_pass(self) -> None:
+        """Schedule a pass; requests within a few milliseconds share one pass."""
+        if not self._pass_requested and not self._stopped:
+            self._pass_requested = True
+            delay_ms = (
+                self._last_pass_ms + MIN_PASS_INTERVAL_MS - self._loop.clock.now_ms()
+            )
+            self._loop.after(max(0, delay_ms), self._run_pass)
 
     def _tick(self) -> None:
         if self._stopped:
             return
-        self._loop.after(TICK_MS, self._tick)
-        self._update_rights()
+        self._loop.after(TICK_INTERVAL_MS, self._tick)
+        self._update_permissions()
         self.scheduler.tick(self._loop.clock.now_ms(), unix_ms())
-        self._pump()
-        if self._submissions_ready:
+        self._run_pass()
+        if self._submissions_loaded:
             for executor in list(self.scheduler.executors_by_id.values()):
-                self._look_if_wanted(executor)
+                self._poll_if_needed(executor)
 
-    def _pump(self) -> None:
-        self._pumping = False
+    def _run_pass(self) -> None:
+        self._pass_requested = False
         if self._stopped:
             return
         now_ms = self._loop.clock.now_ms()
         self._last_pass_ms = now_ms
-        self._update_rights()
-        if self._submissions_ready:
+        self._update_permissions()
+        if self._submissions_loaded:
             self.scheduler.schedule(now_ms, unix_ms())
             for action in self.scheduler.take_actions():
-                self._carry_out(action)
+                self._execute(action)
             self._write_changes()
 
-    def _update_rights(self) -> None:
-        away = self._may_continue_without_store()
-        self.scheduler.store_away = away
-        allowed = self._has_valid_lease() or away
-        self.scheduler.may_start = allowed and self._executors_ready
+    def _update_permissions(self) -> None:
+        may_continue = self._may_continue_without_store()
+        self.scheduler.store_away = may_continue
+        allowed = self._has_valid_lease() or may_continue
+        self.scheduler.may_start = allowed and self._executors_loaded
 
-    def _carry_out(self, action: a.Action) -> None:
+    def _execute(self, action: a.Action) -> None:
         if isinstance(action, a.StartRun):
             executor_id = action.run.executor_id
-            queue = self._start_queues.setdefault(executor_id, collections.deque())
+            queue = self._start_queue_by_executor.setdefault(
+                executor_id, collections.deque()
+            )
             queue.append(action)
             self._send_starts(executor_id)
             executor = self.scheduler.executors_by_id.get(executor_id)
             if executor is not None:
-                self._look_if_wanted(executor)
+                self._poll_if_needed(executor)
         elif isinstance(action, a.StopRun):
             self._send_stop(action)
         elif isinstance(action, a.PaceRun):
-            self._send_pace(action)
+            self._send_throttle(action)
         elif isinstance(action, a.ForgetExecutor):
-            self._forget_executor(action.executor_id)
+            self._delete_executor_record(action.executor_id)
         else:
-            self._ask(action)
+            self._request_advice(action)
 
     def _send_starts(self, executor_id: str) -> None:
-        queue = self._start_queues.get(executor_id)
-        while queue and self._starts.get(executor_id, 0) < MAX_STARTS:
+        queue = self._start_queue_by_executor.get(executor_id)
+        while (
+            queue
+            and self._start_count_by_executor.get(executor_id, 0)
+            < MAX_CONCURRENT_STARTS
+        ):
             action = queue.popleft()
             executor = self.scheduler.executors_by_id.get(executor_id)
             run = action.run
@@ -365,18 +391,20 @@
             checkpoint=task.checkpoint,
             ticket=action.ticket,
         )
-        self._starts[executor.id] = self._starts.get(executor.id, 0) + 1
+        self._start_count_by_executor[executor.id] = (
+            self._start_count_by_executor.get(executor.id, 0) + 1
+        )
 
         def on_reply(reply: t.Any) -> None:
-            self._starts[executor.id] -= 1
+            self._start_count_by_executor[executor.id] -= 1
             if self._stopped:
                 return
             if not self.scheduler.on_start_reply(run, reply, self._loop.clock.now_ms()):
-                self._step_down("an executor has seen a newer fence")
+                self._step_down("an executor has seen a newer fencing token")
                 return
             self._send_starts(executor.id)
             if reply.verdict is not Verdict.OK:
-                self.wake()
+                self.request_pass()
 
         self._client.start(executor.entry, order, on_reply)
 
@@ -389,19 +417,19 @@
             if not self._stopped and not self.scheduler.on_stop_reply(
                 action.run, reply, self._loop.clock.now_ms()
             ):
-                self._step_down("an executor has seen a newer fence")
+                self._step_down("an executor has seen a newer fencing token")
 
         self._client.stop(
             executor.entry, action.task, action.number, self.scheduler.fence, on_reply
         )
 
-    def _send_pace(self, action: a.PaceRun) -> None:
+    def _send_throttle(self, action: a.PaceRun) -> None:
         run = action.run
         executor = self.scheduler.executors_by_id.get(run.executor_id)
         if executor is None:
             return
         _log.event(
-            "pace",
+            "run speed limit ordered",
             request=run.task.name,
             run=run.number,
             executor=executor.id,
@@ -410,7 +438,7 @@
 
         def on_reply(reply: t.Any) -> None:
             if reply.verdict is not Verdict.OK:
-                run.paced_ms = 0  # decide again at the next look
+                run.paced_ms = 0  # decide again after the next poll
                 run.paced = 100 if action.percent < 100 else 0
 
         self._client.throttle(
@@ -422,83 +450,86 @@
             on_reply,
         )
 
-    def _ask(self, action: a.AskAdvice) -> None:
+    def _request_advice(self, action: a.AskAdvice) -> None:
         def on_reply(tickets: dict[str, str], valid_ms: int) -> None:
             now_ms = self._loop.clock.now_ms()
             self.scheduler.on_advice(action.step, tickets, valid_ms, now_ms)
-            self.wake()
+            self.request_pass()
 
         if self._advisor is None:
             on_reply({}, 0)
         else:
             self._advisor.request_tickets(action.step, action.executor_ids, on_reply)
 
-    # Looks
+    # Polls of executors
 
-    def _look_if_wanted(self, executor: Executor) -> None:
-        # Before the load, a run or an end of a stored submission would be unknown.
-        if self._submissions_ready and executor.wants_look:
-            self._look(executor)
+    def _poll_if_needed(self, executor: Executor) -> None:
+        # Until all submissions are loaded, their runs and completions would be unknown.
+        if self._submissions_loaded and executor.wants_look:
+            self._poll_executor(executor)
 
-    def _look(self, executor: Executor) -> None:
-        if executor.id in self._looking or self._stopped:
+    def _poll_executor(self, executor: Executor) -> None:
+        if executor.id in self._polling_ids or self._stopped:
             return
         if not executor.registered and not executor.runs and executor.fenced:
             return
-        self._looking.add(executor.id)
+        self._polling_ids.add(executor.id)
         now_ms = self._loop.clock.now_ms()
         deadline_ms = 0
-        # The lease of a lost executor runs out, so that its tasks can go elsewhere.
+        # The lease of an unreachable executor must expire, so that its tasks can run on
+        # other executors.
         renews = bool(executor.runs) and executor.reachable
         if renews and (self._has_valid_lease() or self._may_continue_without_store()):
             deadline_ms = executor.deadline(RUN_LEASE_MS, now_ms)
         was_reachable = executor.reachable
-        waits = bool(executor.runs) and executor.fenced and executor.reachable
+        holds_open = bool(executor.runs) and executor.fenced and executor.reachable
 
-        def on_look(look: Look) -> None:
-            self._looking.discard(executor.id)
+        def on_poll_reply(look: Look) -> None:
+            self._polling_ids.discard(executor.id)
             if self._stopped:
                 return
-            known = self.scheduler.executors_by_id.get(executor.id)
+            current = self.scheduler.executors_by_id.get(executor.id)
             if not self.scheduler.on_look(
                 executor.id, look, now_ms, self._loop.clock.now_ms()
             ):
-                self._step_down("an executor has seen a newer fence")
+                self._step_down("an executor has seen a newer fencing token")
                 return
-            self.wake()
-            if known is not None and known.wants_look:
-                # A single look may be lost alone; its repetition tells.
-                again_at_once = look.verdict is Verdict.OK or was_reachable
-                delay_ms = LOOK_GAP_MS if again_at_once else LOOK_RETRY_MS
-                self._looking.add(executor.id)
-
-                def again() -> None:
-                    self._looking.discard(executor.id)
-                    if known.wants_look and executor.id in (
+            self.request_pass()
+            if current is not None and current.wants_look:
+                # The first failed poll may be an isolated loss, so it is soon repeated.
+                repeats_soon = look.verdict is Verdict.OK or was_reachable
+                delay_ms = POLL_DELAY_MS if repeats_soon else RETRY_MS
+                self._polling_ids.add(executor.id)
+
+                def poll_again() -> None:
+                    self._polling_ids.discard(executor.id)
+                    if current.wants_look and executor.id in (
                         self.scheduler.executors_by_id
                     ):
-                        self._look(known)
+                        self._poll_executor(current)
 
-                self._loop.after(delay_ms, again)
+                self._loop.after(delay_ms, poll_again)
 
         self._client.poll(
             executor.entry,
             self.scheduler.fence,
             executor.acknowledged,
             deadline_ms,
-            LOOK_WAIT_MS if waits else 0,
-            on_look,
+            POLL_WAIT_MS if holds_open else 0,
+            on_poll_reply,
         )
 
-    # Records
+    # Progress records
 
     def _write_changes(self) -> None:
         changed = self.scheduler.changed
-        while changed and self._writes < MAX_WRITES:
-            batch = [live for key, live in changed.items() if key not in self._writing]
+        while changed and self._active_writes < MAX_CONCURRENT_WRITES:
+            batch = [
+                live for key, live in changed.items() if key not in self._ids_in_write
+            ]
             if not batch:
                 return
-            self._write_batch(batch[:PROGRESS_BATCH])
+            self._write_batch(batch[:SUBMISSIONS_PER_WRITE])
 
     def _write_batch(self, batch: list[LiveSubmission]) -> None:
         conditions: list[tuple[str, int]] = [(LEADER_KEY, self.scheduler.fence)]
@@ -509,7 +540,7 @@
             submission_id = live.submission.id
             key = submission_key(submission_id)
             self.scheduler.changed.pop(submission_id, None)
-            self._writing.add(submission_id)
+            self._ids_in_write.add(submission_id)
             versions.append((live, live.version))
             conditions.append((key + PROGRESS_SUFFIX, live.progress_revision))
             if live.final:
@@ -521,7 +552,7 @@
             else:
                 value = encode_progress(live.progress())
                 puts.append((key + PROGRESS_SUFFIX, value, 0))
-        self._writes += 1
+        self._active_writes += 1
         self._store.write(
             Write(tuple(conditions), tuple(puts), tuple(deletes)),
             lambda reply: self._on_written(versions, reply),
@@ -530,9 +561,9 @@
     def _on_written(
         self, versions: list[tuple[LiveSubmission, int]], reply: StoreReply
     ) -> None:
-        self._writes -= 1
+        self._active_writes -= 1
         for live, _ in versions:
-            self._writing.discard(live.submission.id)
+            self._ids_in_write.discard(live.submission.id)
         if self._stopped:
             return
         if reply.outcome is Outcome.OK:
@@ -541,7 +572,7 @@
                 self.scheduler.on_stored(live, version)
             for executor in self.scheduler.executors_by_id.values():
                 executor.advance_acknowledged()
-            self.wake()
+            self.request_pass()
             return
         for live, _ in versions:
             if not live.final_stored:
@@ -549,12 +580,12 @@
         if reply.outcome is Outcome.CONFLICT:
             self._on_conflict(versions, reply)
         else:
-            self._loop.after(LOOK_RETRY_MS, self.wake)
+            self._loop.after(RETRY_MS, self.request_pass)
 
     def _on_conflict(
         self, versions: list[tuple[LiveSubmission, int]], reply: StoreReply
     ) -> None:
-        """Learn the present revisions: an earlier write may have come late."""
+        """Adopt the current revisions, since an earlier write may have arrived late."""
         revision_by_key = {item.key: item.revision for item in reply.items}
         if revision_by_key.get(LEADER_KEY, 0) != self.scheduler.fence:
             self._step_down("the leader record has changed")
@@ -562,4 +593,4 @@
         for live, _ in versions:
             key = submission_key(live.submission.id) + PROGRESS_SUFFIX
             live.progress_revision = revision_by_key.get(key, 0)
-        self.wake()
+        self.request_pass()
