--- a/src/cranberrywheel/node/node.py
+++ b/src/cranberrywheel/node/node.py
@@ -1,4 +1,4 @@
-"""Wires the tasks of one process on the platform."""
+"""Composition of one process on the platform: components, start and stop."""
 
 import json
 import signal
@@ -47,27 +47,32 @@
 from cranberrywheel.submission.record import decode_final_state
 from cranberrywheel.submission.scheduler import Scheduler
 
-#: Caller connections served at once; each holds a thread while it is open.
-FRONT_THREADS = 96
-#: Balancer probes, peers and metrics need few connections.
-SIDE_THREADS = 8
+#: Concurrent caller connections; each occupies a thread while it is open.
+CALLER_THREADS = 96
+#: Concurrent connections for the balancer's readiness check, which needs few.
+READINESS_THREADS = 8
+#: Largest request body that any server of this process reads.
 MAX_BODY_BYTES = 300_000
-#: Lease of a member's record and its renewal. A member that is gone matters only as
-#: an address that does not answer.
+#: Time to live of the lease of a member record, and its renewal interval. Until it
+#: expires, the record of a stopped member only names an address that does not answer.
 MEMBER_LEASE_MS = 5_000
 MEMBER_RENEW_MS = 1_500
+#: Delay before a failed store or peer call is repeated.
 RETRY_MS = 250
-#: Time between two looks for a machine that is better fit to lead.
-YIELD_CHECK_MS = 500
-#: Time between SIGTERM and the exit: the balancer takes two seconds to notice.
+#: Interval between checks for a larger machine that should lead.
+YIELD_CHECK_INTERVAL_MS = 500
+#: Time for which callers are still accepted after SIGTERM: the balancer takes two
+#: seconds to stop sending them.
 DRAIN_MS = 3_000
-#: Time kept back of the grace period for the exit itself.
+#: Part of the grace period that is reserved for the exit itself.
 EXIT_MARGIN_MS = 1_000
+#: Default port of the metrics.
 METRICS_PORT = 9464
-#: Longest call that is passed on for a peer: above a waiting watch.
+#: Timeout of a relayed call: longer than the store holds a watch call open.
 RELAY_TIMEOUT_MS = 1_600
-#: Peers' connections; each waiting watch of a cut-off peer holds one.
+#: Concurrent connections of peers; each watch call relayed for a peer occupies one.
 PEER_THREADS = 48
+#: Interval at which the main thread checks for SIGTERM.
 SIGNAL_POLL_S = 0.2
 
 _log = PartLogger("node")
@@ -75,10 +80,12 @@
 
 
 class Node:
-    """One process: front, leadership, configuration and, at times, the leader.
+    """One process: caller API, leader election, configuration and, while it leads, the
+    scheduler.
 
-    :param settings: what the platform tells the process.
-    :param metrics_port: port of the metrics; several nodes may share an address.
+    :param settings: settings that the platform gives the process.
+    :param metrics_port: port of the metrics; nodes that share an IP address need
+        different ports.
     """
 
     def __init__(
@@ -90,7 +97,7 @@
         self._stop_requested = threading.Event()
         self._clock = Clock()
         self._loop = HttpLoop(self._clock)
-        self._process = f"{settings.node}-{uuid.uuid4().hex[:8]}"
+        self._process_name = f"{settings.node}-{uuid.uuid4().hex[:8]}"
         self._peer_address = f"{settings.ip}:{settings.peer_port}"
         self._store = Store(
             self._loop,
@@ -104,14 +111,14 @@
         self._intake = Intake(
             self._loop, self._store, lambda: self._store_route.has_route
         )
-        self._executors = ExecutorClient(self._loop)
+        self._executor_client = ExecutorClient(self._loop)
         self._leader: Leader | None = None
-        self._registered = False
+        self._is_registered = False
         self._member_lease = 0
         self._raw_configuration = b""
         self._member_by_process: dict[str, Candidate] = {}
         self._candidate = Candidate(
-            self._process,
+            self._process_name,
             self._peer_address,
             scheduling_capacity(settings.cores, settings.link_mbps),
         )
@@ -124,7 +131,7 @@
             self._on_leadership_acquired,
             self._on_leadership_lost,
         )
-        self._config_watch = PrefixWatch(
+        self._configuration_watch = PrefixWatch(
             self._loop, self._store, OPERATOR_PREFIX + "config", self._on_configuration
         )
         self._member_watch = PrefixWatch(
@@ -144,74 +151,84 @@
             ),
         )
         host, _, port = settings.caller_address.rpartition(":")
-        self._front = HttpServer(
+        self._caller_server = HttpServer(
             host,
             int(port),
             CallerApi(self, self._metrics),
-            FRONT_THREADS,
+            CALLER_THREADS,
             MAX_BODY_BYTES,
         )
         host, _, port = settings.readiness_address.rpartition(":")
-        self._ready = HttpServer(
-            host, int(port), self._ready_app, SIDE_THREADS, MAX_BODY_BYTES
+        self._readiness_server = HttpServer(
+            host, int(port), self._serve_readiness, READINESS_THREADS, MAX_BODY_BYTES
         )
-        self._peers = HttpServer(
+        self._peer_server = HttpServer(
             settings.ip,
             settings.peer_port,
-            self._peer_app,
+            self._serve_peer,
             PEER_THREADS,
             MAX_BODY_BYTES,
         )
         self._metrics_server = HttpServer(
-            settings.ip, metrics_port, self._metrics_app, 2, MAX_BODY_BYTES
+            settings.ip, metrics_port, self._serve_metrics, 2, MAX_BODY_BYTES
         )
 
-    # Life
+    # Start and stop
 
     def run(self) -> None:
-        """Run until SIGTERM, then drain and return."""
+        """Run until SIGTERM or SIGINT, then drain and return."""
         signal.signal(signal.SIGTERM, lambda *_: self._stop_requested.set())
         signal.signal(signal.SIGINT, lambda *_: self._stop_requested.set())
-        signal.signal(signal.SIGHUP, lambda *_: _log.event("settings may have changed"))
+        signal.signal(
+            signal.SIGHUP,
+            lambda *_: _log.event(
+                "SIGHUP received; changed settings take effect at the next start"
+            ),
+        )
         self._loop.start()
         self._loop.post(self._start)
-        for server in (self._front, self._ready, self._peers, self._metrics_server):
+        for server in (
+            self._caller_server,
+            self._readiness_server,
+            self._peer_server,
+            self._metrics_server,
+        ):
             server.start()
-        _log.event("started", process=self._process, zone=self._settings.zone)
+        _log.event("started", process=self._process_name, zone=self._settings.zone)
         while not self._stop_requested.wait(SIGNAL_POLL_S):
             pass
         self._stop()
 
     def _start(self) -> None:
-        self._config_watch.start()
+        self._configuration_watch.start()
         self._member_watch.start()
         self._leadership.start()
         self._store_route.start()
         self._register()
-        self._loop.after(YIELD_CHECK_MS, self._yield_to_larger)
+        self._loop.after(YIELD_CHECK_INTERVAL_MS, self._yield_if_larger_rival)
 
     def _stop(self) -> None:
         self.stopping = True
-        _log.event("stopping", process=self._process, drain_ms=DRAIN_MS)
-        self._loop.post(self._hand_over)
+        _log.event("stopping", process=self._process_name, drain_ms=DRAIN_MS)
+        self._loop.post(self._release_roles)
         self._clock.sleep_ms(DRAIN_MS)
-        self._front.close_listener()
-        stopper = threading.Thread(target=self._front.stop, daemon=True)
+        self._caller_server.close_listener()
+        stopper = threading.Thread(target=self._caller_server.stop, daemon=True)
         stopper.start()
         left_ms = self._settings.bounds.grace_ms - DRAIN_MS - EXIT_MARGIN_MS
         stopper.join(max(0, left_ms) / 1000)
-        _log.event("stopped", process=self._process, clean=not stopper.is_alive())
+        _log.event("stopped", process=self._process_name, clean=not stopper.is_alive())
 
-    def _hand_over(self) -> None:
+    def _release_roles(self) -> None:
         leader = self._leader
         if leader is not None:
             self._leadership.release(leader.handover_record, "the process stops")
         if self._member_lease:
-            # Nobody waits for this process to take the lead any more.
+            # Other candidates no longer give precedence to this process.
             self._store.end_lease(self._member_lease, lambda reply: None)
 
-    def _yield_to_larger(self) -> None:
-        self._loop.after(YIELD_CHECK_MS, self._yield_to_larger)
+    def _yield_if_larger_rival(self) -> None:
+        self._loop.after(YIELD_CHECK_INTERVAL_MS, self._yield_if_larger_rival)
         leader = self._leader
         if leader and leader.is_loaded and self._leadership.should_yield:
             self._leadership.release(
@@ -232,7 +249,9 @@
         try:
             configuration = decode_configuration(value)
         except ValueError as error:
-            _log.warning("unreadable configuration", error=str(error)[:200])
+            _log.warning(
+                "configuration cannot be decoded; ignored", error=str(error)[:200]
+            )
             return
         known = self.configuration
         if known is not None and configuration.version <= known.version:
@@ -245,7 +264,7 @@
         if self._leader:
             self._leader.set_configuration(configuration)
 
-    # Members
+    # Membership
 
     def _register(self) -> None:
         if self.stopping:
@@ -262,14 +281,14 @@
                     "capacity": self._candidate.capacity,
                 }
             ).encode()
-            put = (MEMBER_PREFIX + self._process, value, reply.lease)
+            put = (MEMBER_PREFIX + self._process_name, value, reply.lease)
             self._store.write(Write(puts=(put,)), on_written)
 
         def on_written(reply: StoreReply) -> None:
             if reply.outcome is not Outcome.OK:
                 self._loop.after(RETRY_MS, self._register)
                 return
-            self._registered = True
+            self._is_registered = True
             self._loop.after(MEMBER_RENEW_MS, self._renew_member)
 
         self._store.grant_lease(MEMBER_LEASE_MS, on_lease)
@@ -295,11 +314,15 @@
             row = json.loads(item.value)
             member = Candidate(process, str(row["address"]), float(row["capacity"]))
         except (KeyError, TypeError, ValueError) as error:
-            _log.warning("unreadable member", member=process, error=repr(error))
+            _log.warning(
+                "member record cannot be decoded; ignored",
+                member=process,
+                error=repr(error),
+            )
             return
         self._member_by_process[process] = member
 
-    def _rivals(self) -> list[Candidate]:
+    def _other_members(self) -> list[Candidate]:
         return [
             member
             for member in self._member_by_process.values()
@@ -307,15 +330,17 @@
         ]
 
     def _peer_addresses(self) -> list[str]:
-        return [member.address for member in self._rivals()]
+        return [member.address for member in self._other_members()]
 
     def _largest_rival_capacity(self) -> float:
-        return max((member.capacity for member in self._rivals()), default=0.0)
+        return max((member.capacity for member in self._other_members()), default=0.0)
 
-    # Leadership
+    # Leader election
 
     def _may_compete(self) -> bool:
-        return not self.stopping and self.configuration is not None and self._registered
+        return (
+            not self.stopping and self.configuration is not None and self._is_registered
+        )
 
     def _on_leadership_acquired(
         self, fence: int, term: int, previous_fence: int
@@ -326,11 +351,13 @@
             scheduler.set_configuration(self.configuration)
         settings = self._settings
         advisor = AdvisorClient(self._loop, settings.advisor_address)
-        machines = MachineClient(self._loop, settings.machines_address, self._process)
+        machines = MachineClient(
+            self._loop, settings.machines_address, self._process_name
+        )
         self._leader = Leader(
             self._loop,
             self._store,
-            self._executors,
+            self._executor_client,
             advisor if settings.advisor_address else None,
             machines if settings.machines_address else None,
             scheduler,
@@ -347,28 +374,28 @@
             self._leader = None
 
     def _may_continue_without_store(self) -> bool:
-        """Whether nobody can have taken over, since the store is away for all."""
+        """Whether no other process can lead, since none of them reaches the store."""
         return self._store_route.is_unreachable_for_all(self._leadership.fence)
 
-    # What the front asks for
+    # Backend of the caller API
 
-    def _on_loop(self, begin: t.Callable[["Future[T]"], None]) -> "Future[T]":
+    def _run_on_loop(self, begin: t.Callable[["Future[T]"], None]) -> "Future[T]":
         future: Future[T] = Future()
         self._loop.post(lambda: begin(future))
         return future
 
     def submit(self, submission: Submission, wait_ms: int) -> "Future[Acceptance]":
-        """Store a submission."""
+        """Store a submission; see ``Backend.submit``."""
 
         def begin(future: "Future[Acceptance]") -> None:
             deadline_ms = self._clock.now_ms() + wait_ms
             self._intake.submit(submission, deadline_ms, future.set_result)
 
-        return self._on_loop(begin)
+        return self._run_on_loop(begin)
 
     def find_state(self, submission_id: str, wait_ms: int) -> "Future[State | None]":
-        """Find a submission's state; ``None`` if there is no such submission."""
-        return self._on_loop(
+        """Read the state of a submission; see ``Backend.find_state``."""
+        return self._run_on_loop(
             lambda future: self._find_state(submission_id, wait_ms, future)
         )
 
@@ -388,19 +415,19 @@
 
         def on_items(reply: StoreReply) -> None:
             if reply.outcome is Outcome.OK:
-                by_key = {item.key: item.value or b"" for item in reply.items}
-                future.set_result(_state_from_records(key, by_key))
+                value_by_key = {item.key: item.value or b"" for item in reply.items}
+                future.set_result(_state_from_records(key, value_by_key))
             elif self._clock.now_ms() + RETRY_MS < deadline_ms:
-                if not self._ask_leader(submission_id, future, read):
+                if not self._request_state_from_leader(submission_id, future, read):
                     self._loop.after(RETRY_MS, read)
 
         read()
 
-    def _ask_leader(
+    def _request_state_from_leader(
         self,
         submission_id: str,
         future: "Future[State | None]",
-        otherwise: t.Callable[[], None],
+        retry: t.Callable[[], None],
     ) -> bool:
         holder = self._leadership.holder
         if holder is None or holder.address == self._peer_address:
@@ -410,7 +437,7 @@
             try:
                 future.set_result(State(json.loads(reply.body)["state"]))
             except (KeyError, TypeError, ValueError):
-                self._loop.after(RETRY_MS, otherwise)
+                self._loop.after(RETRY_MS, retry)
 
         path = f"/peer/submission/{submission_id}"
         request = HttpRequest("GET", holder.address, path, timeout_ms=PEER_TIMEOUT_MS)
@@ -418,8 +445,8 @@
         return True
 
     def cancel(self, submission_id: str, wait_ms: int) -> "Future[bool]":
-        """Cancel a submission; false if there is none."""
-        return self._on_loop(
+        """Cancel a submission; see ``Backend.cancel``."""
+        return self._run_on_loop(
             lambda future: self._cancel(
                 submission_id, self._clock.now_ms() + wait_ms, future
             )
@@ -440,13 +467,13 @@
             if reply.outcome is not Outcome.OK:
                 retry()
                 return
-            by_key = {item.key: item for item in reply.items}
-            if key + FINAL_SUFFIX in by_key or key + CANCEL_SUFFIX in by_key:
+            item_by_key = {item.key: item for item in reply.items}
+            if key + FINAL_SUFFIX in item_by_key or key + CANCEL_SUFFIX in item_by_key:
                 future.set_result(True)
-            elif key not in by_key:
+            elif key not in item_by_key:
                 future.set_result(False)
             else:
-                conditions = ((key, by_key[key].revision),)
+                conditions = ((key, item_by_key[key].revision),)
                 put = (key + CANCEL_SUFFIX, b"{}", 0)
                 self._store.write(Write(conditions, (put,)), on_written)
 
@@ -459,8 +486,8 @@
         self._store.read_all(key, on_items)
 
     def count_waiting(self, queue: Queue) -> "Future[int]":
-        """Count a queue's submissions of which no task has started."""
-        return self._on_loop(lambda future: self._count_waiting(queue, future))
+        """Count the submissions of a queue without a started task."""
+        return self._run_on_loop(lambda future: self._count_waiting(queue, future))
 
     def _count_waiting(self, queue: Queue, future: "Future[int]") -> None:
         leader = self._leader
@@ -484,9 +511,9 @@
         )
         self._loop.call(request, on_reply)
 
-    # Other interfaces
+    # Readiness check, metrics and peers
 
-    def _ready_app(self, environ: t.Any, start_response: t.Any) -> t.Any:
+    def _serve_readiness(self, environ: t.Any, start_response: t.Any) -> t.Any:
         request = Request(environ)
         ready = (
             self.configuration is not None
@@ -496,16 +523,16 @@
         status = 200 if request.path == READY_PATH and ready else 503
         return Response(b"", status=status)(environ, start_response)
 
-    def _metrics_app(self, environ: t.Any, start_response: t.Any) -> t.Any:
+    def _serve_metrics(self, environ: t.Any, start_response: t.Any) -> t.Any:
         response = Response(self._metrics.render(), content_type="text/plain")
         return response(environ, start_response)
 
-    def _peer_app(self, environ: t.Any, start_response: t.Any) -> t.Any:
+    def _serve_peer(self, environ: t.Any, start_response: t.Any) -> t.Any:
         request = Request(environ)
         if request.path.startswith(RELAY_PREFIX + "/"):
-            return self._relay(request)(environ, start_response)
+            return self._relay_call(request)(environ, start_response)
         answer: Future[dict[str, t.Any]] = Future()
-        self._loop.post(lambda: answer.set_result(self._answer_peer(request)))
+        self._loop.post(lambda: answer.set_result(self._build_peer_response(request)))
         try:
             body = answer.result(PEER_TIMEOUT_MS / 1000)
         except TimeoutError:
@@ -517,8 +544,8 @@
         )
         return response(environ, start_response)
 
-    def _relay(self, request: Request) -> Response:
-        """Pass a peer's call on to the store."""
+    def _relay_call(self, request: Request) -> Response:
+        """Send a call to the store on behalf of a peer."""
         path = request.full_path.rstrip("?")[len(RELAY_PREFIX) :]
         body = request.get_data() if request.method == "POST" else None
         answer: Future[HttpReply] = Future()
@@ -531,11 +558,11 @@
             reply = answer.result(RELAY_TIMEOUT_MS / 1000 + 1)
         except TimeoutError:
             reply = HttpReply(0)
-        # 503 says that nothing was done, 504 that it may have been.
+        # 503: the call had no effect; 504: it may have taken effect.
         status = reply.status or (504 if reply.sent else 503)
         return Response(reply.body, status=status, content_type="application/json")
 
-    def _answer_peer(self, request: Request) -> dict[str, t.Any]:
+    def _build_peer_response(self, request: Request) -> dict[str, t.Any]:
         leader = self._leader
         if request.path == STATUS_PATH:
             holder = self._leadership.holder
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -1,4 +1,4 @@
-"""Real node processes against the stand-in of the users' platform, over sockets."""
+"""Node processes against the stand-in of the users' platform, over sockets."""
 
 import json
 import random
@@ -22,13 +22,15 @@
 def deployment(tmp_path_factory):
     deployment = Deployment(tmp_path_factory.mktemp("nodes"))
     deployment.start()
-    # Each process is asked, since they start at different times on a busy machine.
-    end = time.monotonic() + START_S
-    waiting = list(deployment.fronts)
-    while waiting and time.monotonic() < end:
-        waiting = [f for f in waiting if call("GET", f, PREFIX)[0] != 200]
+    # Every process is polled, since they may start at different times.
+    deadline_s = time.monotonic() + START_S
+    not_ready = list(deployment.fronts)
+    while not_ready and time.monotonic() < deadline_s:
+        not_ready = [
+            front for front in not_ready if call("GET", front, PREFIX)[0] != 200
+        ]
         time.sleep(0.1)
-    assert waiting == []
+    assert not_ready == []
     yield deployment
     deployment.stop()
 
@@ -38,18 +40,18 @@
     return call("POST", deployment.fronts[0], PREFIX + submission_id, data)
 
 
-def wait_for_state(deployment, submission_id, wanted, seconds=10):
-    end = time.monotonic() + seconds
+def wait_for_state(deployment, submission_id, expected, seconds=10):
+    deadline_s = time.monotonic() + seconds
     state = ""
-    while state != wanted and time.monotonic() < end:
+    while state != expected and time.monotonic() < deadline_s:
         front = random.choice(deployment.fronts)
         state = call("GET", front, PREFIX + submission_id)[1].get("state", "")
         time.sleep(0.1)
     return state
 
 
-def test_accepted_submission_is_shown_as_completed_by_every_node(deployment):
-    """A submission that only the node which took it in knows."""
+def test_accepted_submission_is_reported_as_completed_by_every_node(deployment):
+    """Guards against a submission that only the accepting node can report."""
     assert submit(deployment, "00000000000000a1", SUBMISSION)[0] == 200
     assert wait_for_state(deployment, "00000000000000a1", "completed") == "completed"
     for front in deployment.fronts:
@@ -57,8 +59,8 @@
         assert answer == (200, {"state": "completed"})
 
 
-def test_repeated_submission_remains_one(deployment):
-    """A caller that got no answer hands the same id in again."""
+def test_repeated_submission_runs_once(deployment):
+    """Guards against a second run when a caller without an answer repeats an id."""
     before = deployment.platform.fleet.starts
     for _ in range(3):
         assert submit(deployment, "00000000000000a2", SUBMISSION)[0] == 200
@@ -83,54 +85,58 @@
         {"spec": "x", "steps": [{"count": 1, "cpu": -5}]},
     ],
 )
-def test_bad_submission_is_refused_and_not_stored(deployment, body):
-    """Bad input that is stored, ends a process or is answered with a traceback."""
+def test_invalid_submission_is_rejected_and_not_stored(deployment, body):
+    """Guards against bad input that is stored, ends a process or yields a traceback."""
     status, answer = submit(deployment, "00000000000000b1", body)
     assert status == 400
     assert answer["outcome"] == "not-run" and answer["detail"]
     assert call("GET", deployment.fronts[1], PREFIX + "00000000000000b1")[0] == 410
 
 
-def test_body_over_the_limit_is_refused(deployment):
-    """A body that fills an entry's memory."""
+def test_body_over_the_limit_is_rejected(deployment):
+    """Guards against a body that exhausts the memory of an entry instance."""
     assert submit(deployment, "00000000000000b2", b"x" * 280_000)[0] == 413
 
 
-def test_unknown_queue_and_submission(deployment):
-    """A path of another queue, and ids that nobody handed in."""
+def test_unknown_queue_and_submission_are_not_found(deployment):
+    """Guards against a success for an unknown queue, an invalid id or an unknown id."""
     assert call("GET", deployment.fronts[0], "/other/00000000000000b3")[0] == 404
     assert call("GET", deployment.fronts[0], PREFIX + "nonsense")[0] == 404
     assert call("DELETE", deployment.fronts[0], PREFIX + "00000000000000b3")[0] == 410
 
 
 def test_queue_length_is_the_same_at_every_node(deployment):
-    """A node that does not lead and answers from nothing."""
+    """Guards against a node that answers without data because it does not lead."""
     for front in deployment.fronts:
         assert call("GET", front, PREFIX) == (200, {"queuedJobs": 0})
 
 
-def test_cancelled_submission_stops(deployment):
-    """Tasks that run on after the cancellation."""
+def test_cancelled_submission_stops_its_tasks(deployment):
+    """Guards against tasks that keep running after the cancellation."""
     platform = deployment.platform
     platform.fleet.describe("00000000000000c1", 1_000, 60_000)
     assert submit(deployment, "00000000000000c1", SUBMISSION)[0] == 200
     time.sleep(0.5)
     assert call("DELETE", deployment.fronts[2], PREFIX + "00000000000000c1")[0] == 200
-    end = time.monotonic() + 5
-    while time.monotonic() < end:
+    deadline_s = time.monotonic() + 5
+    while time.monotonic() < deadline_s:
         with platform.lock:
             for executor in platform.fleet.by_id.values():
                 executor.settle()
-            left = [k for x in platform.fleet.by_id.values() for k in x.runs]
-        if not left:
+            running = [
+                key
+                for executor in platform.fleet.by_id.values()
+                for key in executor.runs
+            ]
+        if not running:
             break
         time.sleep(0.1)
-    assert left == []
+    assert running == []
     assert wait_for_state(deployment, "00000000000000c1", "cancelled") == "cancelled"
 
 
 def test_killed_leader_is_replaced(deployment):
-    """Work that nobody goes on with after the leader was killed."""
+    """Guards against work that no leader continues after the leader was killed."""
     platform = deployment.platform
     platform.fleet.describe("00000000000000d1", 1_000, 1_500)
     assert submit(deployment, "00000000000000d1", SUBMISSION)[0] == 200
@@ -141,11 +147,12 @@
     assert platform.fleet.violations == []
 
 
-#: Seeds that failed once stay here, each with its cause.
+#: Seeds of the soak; a seed that failed once stays here, with its cause.
 SOAK_SEEDS = [1]
 
 
 @pytest.mark.parametrize("seed", SOAK_SEEDS)
-def test_promises_hold_under_random_faults(seed, tmp_path):
-    """A short soak; see cranberrywheel_load.soak for the faults and the promises."""
+def test_guarantees_hold_under_random_faults(seed, tmp_path):
+    """Guards against broken guarantees; cranberrywheel_load.soak lists faults and
+    guarantees."""
     assert run_soak(SoakPlan(seed, 6.0, 15, tmp_path), print) == []
