--- a/src/cranberrywheel/node/caller_api.py
+++ b/src/cranberrywheel/node/caller_api.py
@@ -16,7 +16,7 @@
 
 #: Part of a caller's wait that is reserved for the transfer of the response.
 ANSWER_MARGIN_MS = 250
-#: Wait of callers whose request names no limit.
+#: Wait of callers whose request sets no limit.
 DEFAULT_CALLER_WAIT_MS = 3_000
 #: Value of ``Retry-After`` in seconds: a takeover and most faults of the connection to
 #: the store are over by then.
--- a/src/cranberrywheel/node/node.py
+++ b/src/cranberrywheel/node/node.py
@@ -80,8 +80,7 @@
 
 
 class Node:
-    """One process: caller API, leader election, configuration and, while it leads, the
-    scheduler.
+    """One process: caller API, leader election and, while it leads, the scheduler.
 
     :param settings: settings that the platform gives the process.
     :param metrics_port: port of the metrics; nodes that share an IP address need
