--- a/src/cranberrywheel/node/leader.py
+++ b/src/cranberrywheel/node/leader.py
@@ -284,7 +284,7 @@
         elif suffix == PROGRESS_SUFFIX and not self._submissions_ready:
             scheduler.restore(submission_id, decode_progress(value), item.revision)
         elif suffix == FINAL_SUFFIX:
-            scheduler.final_by_id[submission_id] = decode_final_state(value)
+            scheduler.final_state_by_id[submission_id] = decode_final_state(value)
 
     # Time and orders
 
@@ -497,7 +497,7 @@
     # Records
 
     def _flush(self) -> None:
-        changed = self.scheduler.changed
+        changed = self.scheduler.unsaved_by_id
         while changed and self._writes < MAX_WRITES:
             batch = [live for key, live in changed.items() if key not in self._writing]
             if not batch:
@@ -512,12 +512,12 @@
         for live in batch:
             submission_id = live.submission.id
             key = submission_key(submission_id)
-            self.scheduler.changed.pop(submission_id, None)
+            self.scheduler.unsaved_by_id.pop(submission_id, None)
             self._writing.add(submission_id)
             versions.append((live, live.version))
             conditions.append((key + PROGRESS_SUFFIX, live.progress_revision))
-            if live.final:
-                value = encode_final_state(live.final, live.submission.queue)
+            if live.final_state:
+                value = encode_final_state(live.final_state, live.submission.queue)
                 puts.append((key + FINAL_SUFFIX, value, 0))
                 deletes += [key, key + CANCEL_SUFFIX]
                 if live.progress_revision:
@@ -549,7 +549,7 @@
             return
         for live, _ in versions:
             if not live.final_stored:
-                self.scheduler.changed[live.submission.id] = live
+                self.scheduler.unsaved_by_id[live.submission.id] = live
         if reply.outcome is Outcome.CONFLICT:
             self._on_conflict(versions, reply)
         else:
--- a/src/cranberrywheel/submission/demand.py
+++ b/src/cranberrywheel/submission/demand.py
@@ -47,6 +47,6 @@
 def queue_length(state: SchedulerState, queue: str) -> int:
     """Count a queue's submissions of which no task has started."""
     return sum(
-        live.submission.queue == queue and not live.started and not live.final
+        live.submission.queue == queue and not live.started and not live.final_state
         for live in state.live_by_id.values()
     )
--- a/src/cranberrywheel/submission/executor_orders.py
+++ b/src/cranberrywheel/submission/executor_orders.py
@@ -37,8 +37,8 @@
     FAILED = "failed"
     STOPPED = "stopped"
     EXPIRED = "lapsed"
-    BROKEN = "broken"
-    ALONE = "alone"
+    GANG_MEMBER_ENDED = "broken"
+    GANG_INCOMPLETE = "alone"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/cranberrywheel/submission/handover.py
+++ b/src/cranberrywheel/submission/handover.py
@@ -25,7 +25,7 @@
     task: str
     number: int
     executor_id: str
-    lease_expiry_ms: int
+    expires_in_ms: int
 
 
 @dataclasses.dataclass(frozen=True)
@@ -43,7 +43,7 @@
     fence: int
     runs: list[HandedOverRun]
     progress_by_id: dict[str, Progress]
-    unseen_ms: dict[str, int] = dataclasses.field(default_factory=dict)
+    unpolled_ms: dict[str, int] = dataclasses.field(default_factory=dict)
     held_back: list[str] = dataclasses.field(default_factory=list)
     trusts_records: bool = True
 
@@ -58,7 +58,7 @@
 
     :param is_complete: whether everything stored was loaded before.
     """
-    unseen_ms = {
+    unpolled_ms = {
         executor.id: executor.lease_expiry_ms - now_ms
         for executor in state.executors_by_id.values()
         if not executor.fence_confirmed and executor.lease_expiry_ms > now_ms
@@ -80,8 +80,8 @@
             for live in state.live_by_id.values()
             if live.stored_version < live.version and not live.cancelled
         },
-        unseen_ms,
-        _held_back(state, unseen_ms),
+        unpolled_ms,
+        _held_back(state, unpolled_ms),
         state.trusts_records,
     )
 
@@ -107,7 +107,7 @@
     state.trusts_records = state.trusts_records and account.trusts_records
     state.unpolled_until_ms = {
         executor_id: now_ms + rest_ms
-        for executor_id, rest_ms in account.unseen_ms.items()
+        for executor_id, rest_ms in account.unpolled_ms.items()
     }
 
 
@@ -117,7 +117,7 @@
     """Apply an account to the loaded submissions; looks bring it up to date."""
     for submission_id, progress in account.progress_by_id.items():
         live = state.live_by_id.get(submission_id)
-        if live is not None and not live.final:
+        if live is not None and not live.final_state:
             live.restore(progress)
             state.mark_changed(live)
             state.finish_if_ended(live)
@@ -130,7 +130,7 @@
         run.state = RunState.RUNNING
         task.last_run_number = max(task.last_run_number, row.number)
         executor.lease_expiry_ms = max(
-            executor.lease_expiry_ms, now_ms + row.lease_expiry_ms
+            executor.lease_expiry_ms, now_ms + row.expires_in_ms
         )
         state.track_run(run, executor)
 
@@ -145,7 +145,7 @@
                 submission_id: dataclasses.asdict(progress)
                 for submission_id, progress in account.progress_by_id.items()
             },
-            "unseen_ms": account.unseen_ms,
+            "unseen_ms": account.unpolled_ms,
             "held_back": account.held_back,
             "trusts_records": account.trusts_records,
         }
--- a/src/cranberrywheel/submission/live.py
+++ b/src/cranberrywheel/submission/live.py
@@ -15,7 +15,7 @@
     """
 
     STARTING = "starting"
-    DOUBTFUL = "doubtful"
+    UNCONFIRMED = "doubtful"
     RUNNING = "running"
     STOPPING = "stopping"
 
@@ -201,7 +201,7 @@
         self.recovered = recovered
         self.started = False
         self.cancelled = False
-        self.final: SubmissionState | None = None
+        self.final_state: SubmissionState | None = None
         self.final_stored = False
         self.version = 0
         self.stored_version = 0
@@ -272,8 +272,8 @@
         """Return the state that callers may see."""
         if self.cancelled:
             return SubmissionState.CANCELLED
-        if self.final and self.final_stored:
-            return self.final
+        if self.final_state and self.final_stored:
+            return self.final_state
         return SubmissionState.RUNNING if self.started else SubmissionState.PENDING
 
     def find_task(self, occurrence: int, step: int, index: int) -> Task | None:
--- a/src/cranberrywheel/submission/reports.py
+++ b/src/cranberrywheel/submission/reports.py
@@ -117,7 +117,7 @@
         run.last_progress_ms = now_ms
         run.task.step_run.live.started = True
     elif reply.verdict is OrderVerdict.UNKNOWN:
-        run.state = RunState.DOUBTFUL
+        run.state = RunState.UNCONFIRMED
         run.last_progress_ms = now_ms
         executor.reachable = False
     else:
@@ -237,7 +237,7 @@
         for run in list(member.runs):
             state.stop_run(run, now_ms, "another copy is done")
     state.mark_changed(live)
-    if live.is_complete and not live.final:
+    if live.is_complete and not live.final_state:
         state.finish(live, SubmissionState.COMPLETED)
     elif step_run.is_done:
         state.dirty_services.add(live.queue.service)
@@ -255,7 +255,7 @@
         run = _adopt_run(state, executor, row, now_ms)
         if run is None:
             return
-    if run.state in (RunState.STARTING, RunState.DOUBTFUL):
+    if run.state in (RunState.STARTING, RunState.UNCONFIRMED):
         run.state = RunState.RUNNING
     task = run.task
     task.step_run.live.started = True
@@ -303,7 +303,7 @@
     if (
         task is None
         or task.done
-        or task.step_run.live.final
+        or task.step_run.live.final_state
         or (task.runs and not task.step_run.step.speculative)
     ):
         state.actions.append(a.StopRun(executor.id, row.task, row.number))
@@ -329,7 +329,7 @@
         return
     if run.last_progress_ms >= sent_ms:
         return
-    if run.state is RunState.DOUBTFUL:
+    if run.state is RunState.UNCONFIRMED:
         state.stop_run(run, now_ms, "the start got no answer")
     else:
         _log.warning(
--- a/src/cranberrywheel/submission/scheduler.py
+++ b/src/cranberrywheel/submission/scheduler.py
@@ -97,7 +97,7 @@
 
     def add_submission(self, submission: Submission, recovered: bool = False) -> None:
         """Take in a stored submission; one that is known already is left as it is."""
-        if submission.id in self.live_by_id or submission.id in self.final_by_id:
+        if submission.id in self.live_by_id or submission.id in self.final_state_by_id:
             return
         queue = None
         if self.configuration is not None:
@@ -137,9 +137,9 @@
     def on_stored(self, live: LiveSubmission, version: int) -> None:
         """Note that a submission's record of a version is stored."""
         live.stored_version = max(live.stored_version, version)
-        if live.final and live.stored_version >= live.version:
+        if live.final_state and live.stored_version >= live.version:
             live.final_stored = True
-            self.final_by_id[live.submission.id] = live.final
+            self.final_state_by_id[live.submission.id] = live.final_state
             if not live.run_count:
                 self.live_by_id.pop(live.submission.id, None)
         elif live.ready_steps():
@@ -184,7 +184,7 @@
             )
         for live in self.live_by_id.values():
             while (
-                not live.final
+                not live.final_state
                 and live.begun_occurrences < live.occurrences
                 and live.due_ms(live.begun_occurrences) <= unix_ms
             ):
@@ -241,4 +241,4 @@
         live = self.live_by_id.get(submission_id)
         if live is not None:
             return live.state()
-        return self.final_by_id.get(submission_id)
+        return self.final_state_by_id.get(submission_id)
--- a/src/cranberrywheel/submission/state.py
+++ b/src/cranberrywheel/submission/state.py
@@ -73,8 +73,8 @@
         self.executors_by_id: dict[str, Executor] = {}
         self.executors_by_service: dict[str, dict[str, Executor]] = {}
         self.live_by_id: dict[str, LiveSubmission] = {}
-        self.final_by_id: dict[str, SubmissionState] = {}
-        self.changed: dict[str, LiveSubmission] = {}
+        self.final_state_by_id: dict[str, SubmissionState] = {}
+        self.unsaved_by_id: dict[str, LiveSubmission] = {}
         self.waiting_by_service: dict[str, dict[str, LiveSubmission]] = {}
         self.dirty_services: set[str] = set()
         self.quota_limited_services: set[str] = set()
@@ -131,7 +131,7 @@
     def requeue(self, task: Task) -> None:
         """Let a task wait for a start, unless its submission has ended."""
         live = task.step_run.live
-        if not task.done and not live.final:
+        if not task.done and not live.final_state:
             task.step_run.add_waiting(task)
             self.add_waiting_submission(live)
 
@@ -221,11 +221,11 @@
     def mark_changed(self, live: LiveSubmission) -> None:
         """Note a change of a submission that must be stored."""
         live.version += 1
-        self.changed[live.submission.id] = live
+        self.unsaved_by_id[live.submission.id] = live
 
     def finish(self, live: LiveSubmission, state: SubmissionState) -> None:
         """End a submission; callers see it once it is stored."""
-        live.final = state
+        live.final_state = state
         for step_run in live.step_runs.values():
             step_run.waiting.clear()
         live.invalidate_derived()
--- a/tests/leader_world.py
+++ b/tests/leader_harness.py
@@ -78,7 +78,7 @@
     return Step(count=count, size=Resources(cpu, 100, 0), **fields)
 
 
-class LeaderWorld:
+class LeaderHarness:
     """A store, executors and at most one leader at a time."""
 
     def __init__(self, monkeypatch: t.Any, seed: int = 1) -> None:
--- a/tests/test_queue_order.py
+++ b/tests/test_queue_order.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from leader_world import LeaderWorld, make_step, make_submission
+from leader_harness import LeaderHarness, make_step, make_submission
 
 from cranberrywheel.submission import scheduling_pass
 from cranberrywheel.submission.live import LiveSubmission
@@ -67,31 +67,31 @@
     :returns: share of the submissions that met their goal.
     """
     monkeypatch.setattr(scheduling_pass, "scheduling_key", key_of)
-    world = LeaderWorld(monkeypatch)
+    harness = LeaderHarness(monkeypatch)
     for index in range(4):
-        world.fleet.add(f"x{index}", "pool", cpu=8_000)
-    world.lead()
-    world.run_for(300)
+        harness.fleet.add(f"x{index}", "pool", cpu=8_000)
+    harness.lead()
+    harness.run_for(300)
     rng = random.Random(seed)
     arrivals = sorted(rng.uniform(0, 4_500) for _ in range(36))
     accepted: dict[str, int] = {}
-    begin = world.loop.clock.now_ms()
+    begin = harness.loop.clock.now_ms()
     for number, at_ms in enumerate(arrivals):
-        world.run_for(max(0, begin + int(at_ms) - world.loop.clock.now_ms()))
+        harness.run_for(max(0, begin + int(at_ms) - harness.loop.clock.now_ms()))
         count = rng.choice((2, 4, 6, 12))
         name = f"s{number}"
-        accepted[name] = world.loop.clock.now_ms()
+        accepted[name] = harness.loop.clock.now_ms()
         submission = make_submission(
-            name, make_step(count), accepted_ms=world.unix_ms()
+            name, make_step(count), accepted_ms=harness.unix_ms()
         )
-        world.submit(submission, rng.randint(700, 1_300))
-    world.run_for(15_000)
+        harness.submit(submission, rng.randint(700, 1_300))
+    harness.run_for(15_000)
     assert all(
-        world.scheduler.state_of(n) is SubmissionState.COMPLETED for n in accepted
+        harness.scheduler.state_of(n) is SubmissionState.COMPLETED for n in accepted
     )
-    assert world.fleet.rejections == 0
+    assert harness.fleet.rejections == 0
     ended: dict[str, int] = {}
-    for task, ended_ms in world.fleet.done_ms_by_task.items():
+    for task, ended_ms in harness.fleet.done_ms_by_task.items():
         name = task.partition(".")[0]
         ended[name] = max(ended_ms, ended.get(name, 0))
     objective_ms = 1.6 * 1_000 + 600
--- a/tests/test_throttling.py
+++ b/tests/test_throttling.py
@@ -1,6 +1,6 @@
 """Pace of filling tasks beside serving ones, decided without input or output."""
 
-from leader_world import make_step, make_submission
+from leader_harness import make_step, make_submission
 
 from cranberrywheel.submission.actions import ThrottleRun
 from cranberrywheel.submission.executor import Executor
