--- a/src/cranberrywheel/submission/__init__.py
+++ b/src/cranberrywheel/submission/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as a submission: its steps, tasks, runs and their decisions."""
+"""Submissions from acceptance to completion: their state and the leader's decisions."""
--- a/src/cranberrywheel/submission/actions.py
+++ b/src/cranberrywheel/submission/actions.py
@@ -1,4 +1,4 @@
-"""What the scheduler wants done; its driver carries it out."""
+"""Actions that the scheduler decides on and the leader carries out."""
 
 import dataclasses
 
@@ -7,7 +7,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartRun:
-    """Start a run on its executor."""
+    """Start a run on its executor.
+
+    :param ticket: the advisor's ticket for the executor, or ``""`` if the queue needs
+        none.
+    """
 
     run: Run
     ticket: str = ""
@@ -15,7 +19,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopRun:
-    """Stop a run by its task's name; it may be unknown to the scheduler."""
+    """Stop a run, identified by its task's name and its number.
+
+    :param run: the run, or ``None`` if the scheduler does not track it.
+    """
 
     executor_id: str
     task: str
@@ -25,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ThrottleRun:
-    """Let a run work at a share of its speed."""
+    """Limit a run to a percentage of its full speed."""
 
     run: Run
     percent: int
@@ -33,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestAdvice:
-    """Ask which of these executors may run a step."""
+    """Ask the advisor which of these executors may run a step."""
 
     step: str
     executor_ids: tuple[str, ...]
@@ -41,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeleteExecutorRecord:
-    """Delete the record of an executor on which nothing can run any more."""
+    """Delete the stored record of an executor on which nothing can run any more."""
 
     executor_id: str
 
--- a/src/cranberrywheel/submission/demand.py
+++ b/src/cranberrywheel/submission/demand.py
@@ -1,11 +1,14 @@
-"""How much short work each pool runs and waits for."""
+"""Demand for short work: the cpu that each pool uses and has waiting.
+
+Long-running steps are not counted.
+"""
 
 from cranberrywheel.submission.pool_sizing import PoolDemand
 from cranberrywheel.submission.state import SchedulerState
 
 
 def demand_by_service(state: SchedulerState) -> dict[str, PoolDemand]:
-    """Return the demand of each pool for short work."""
+    """Return the demand of each pool for short work, by service."""
     capacity: dict[str, int] = {}
     machine_cpu: dict[str, int] = {}
     used: dict[str, int] = {}
@@ -38,14 +41,17 @@
 
 
 def pressure_by_service(state: SchedulerState) -> dict[str, float]:
-    """Return used and waiting cpu of short work as a share of each pool."""
+    """Return used and waiting cpu of short work as a fraction of each pool."""
     return {
         service: demand.pressure for service, demand in demand_by_service(state).items()
     }
 
 
 def queue_length(state: SchedulerState, queue: str) -> int:
-    """Count a queue's submissions of which no task has started."""
+    """Count the unfinished submissions of a queue of which no task has started.
+
+    :param queue: key of the queue.
+    """
     return sum(
         live.submission.queue == queue and not live.started and not live.final_state
         for live in state.live_by_id.values()
--- a/src/cranberrywheel/submission/executor.py
+++ b/src/cranberrywheel/submission/executor.py
@@ -70,8 +70,8 @@
         self.fault_count = 0.0
         self.fault_counted_ms = 0
         self.suspect_until_ms = 0
-        self.filling_count = 0
-        self.serving_count = 0
+        self.background_count = 0
+        self.latency_sensitive_count = 0
 
     @property
     def id(self) -> str:
@@ -109,8 +109,8 @@
         step = step_run.step
         self.used = self.used + step.claim if sign > 0 else self.used - step.claim
         self.free = self.entry.capacity - self.used
-        self.filling_count += sign * step.fills
-        self.serving_count += sign * (step.target_ms > 0)
+        self.background_count += sign * step.fills
+        self.latency_sensitive_count += sign * (step.target_ms > 0)
         count = self.count_by_step.get(step_run, 0) + sign
         if count:
             self.count_by_step[step_run] = count
--- a/src/cranberrywheel/submission/executor_orders.py
+++ b/src/cranberrywheel/submission/executor_orders.py
@@ -1,4 +1,4 @@
-"""Executors as the product knows them, and the orders that they take."""
+"""Registration of executors, the orders they accept and the replies they send."""
 
 import dataclasses
 import enum
@@ -8,10 +8,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExecutorEntry:
-    """What an executor says of itself.
-
-    :param boot: start of its process; another value means that it restarted.
-    :param rack: label that names its rack, or ``""``.
+    """Entry that an executor registers in the store.
+
+    :param address: ``host:port`` of its interface.
+    :param draining: it shuts down and accepts no new runs.
+    :param rack: label that names its rack, or ``""`` if none does.
+    :param machine: id of the machine that it runs on.
+    :param boot: start of its process, in Unix milliseconds; a later value means that
+        it has restarted.
     """
 
     id: str
@@ -27,10 +31,10 @@
 
 
 class RunOutcome(enum.Enum):
-    """How a run ended.
+    """How a run ended; the values are those of the executors' interface.
 
-    ``BROKEN``: another member of its gang ended. ``ALONE``: the other members of its
-    gang did not come.
+    ``EXPIRED``: the lease ran out. ``GANG_MEMBER_ENDED``: another member of its gang
+    ended. ``GANG_INCOMPLETE``: the other members of its gang did not start in time.
     """
 
     DONE = "done"
@@ -43,9 +47,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunningReport:
-    """A run at work; ``percent`` is its progress, ``load`` a rough last reading.
+    """State of a running task, as its executor reports it.
 
-    :param load: tail latency in milliseconds of a serving task; cpu in use of others.
+    :param checkpoint: last saved checkpoint, or ``""`` for none.
+    :param percent: progress.
+    :param load: rough last reading: the tail latency in milliseconds of a
+        latency-sensitive task, the cpu in use of any other.
     """
 
     task: str
@@ -57,7 +64,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompletionReport:
-    """An end in the executor's list; ``sequence`` rises within one boot."""
+    """A finished run in an executor's list of completions.
+
+    :param sequence: position in the list; increases within one boot.
+    :param checkpoint: last saved checkpoint, or ``""`` for none.
+    """
 
     sequence: int
     task: str
@@ -67,10 +78,14 @@
 
 
 class OrderVerdict(enum.Enum):
-    """How an executor answered an order.
-
-    ``DUPLICATE``: the run is not newer than one that ended or was stopped there.
-    ``REFUSED``: nothing was done. ``UNKNOWN``: it may have been or may yet be done.
+    """Executor's answer to an order or a poll.
+
+    ``FENCED``: it has seen the fence of a newer leader. ``DUPLICATE``: the run is not
+    newer than one that ended or was stopped there. ``LATE``: the order's deadline has
+    passed. ``NO_ROOM``: its capacity does not suffice. ``TICKET``: the advisor's
+    ticket is missing or not valid. ``OTHER_BOOT``: another process has its address.
+    ``REFUSED``: the order had no effect. ``UNKNOWN``: it may have been or may yet be
+    carried out.
     """
 
     OK = "ok"
@@ -86,7 +101,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderReply:
-    """Answer to a start, stop or pace order; ``clock_ms`` is the executor's clock."""
+    """Answer to a start, stop or throttle order.
+
+    :param clock_ms: time on the executor's clock, or 0 if the answer has none.
+    :param error: reason without an answer, otherwise the status code; for logs.
+    """
 
     verdict: OrderVerdict
     clock_ms: int = 0
@@ -95,7 +114,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PollReply:
-    """Answer to a look: what runs and which ends are not acknowledged."""
+    """Answer to a poll.
+
+    :param clock_ms: time on the executor's clock, or 0 if the answer has none.
+    :param boot: start of the executor's process, see :class:`ExecutorEntry`.
+    :param running: all runs that have not ended.
+    :param completions: completions that no leader has acknowledged yet.
+    :param error: reason without an answer, otherwise the status code; for logs.
+    """
 
     verdict: OrderVerdict
     clock_ms: int = 0
@@ -107,7 +133,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartOrder:
-    """A start; ``deadline_ms`` is on the executor's clock."""
+    """Order to start a run.
+
+    :param deadline_ms: end of the lease on the executor's clock.
+    :param checkpoint: checkpoint from which the run resumes, or ``""``.
+    :param ticket: the advisor's ticket for the executor, or ``""``.
+    """
 
     task: str
     number: int
--- a/src/cranberrywheel/submission/live.py
+++ b/src/cranberrywheel/submission/live.py
@@ -34,7 +34,7 @@
         "executor_id",
         "load",
         "number",
-        "over_target_since_ms",
+        "over_limit_since_ms",
         "speed_percent",
         "speed_changed_ms",
         "percent",
@@ -58,7 +58,7 @@
         self.percent = 0.0
         self.last_progress_ms = now_ms
         self.load = 0.0
-        self.over_target_since_ms = 0
+        self.over_limit_since_ms = 0
         self.speed_percent = 100
         self.speed_changed_ms = 0
         self.stop_sent_ms = 0
--- a/src/cranberrywheel/submission/machines.py
+++ b/src/cranberrywheel/submission/machines.py
@@ -1,4 +1,4 @@
-"""Machines, the waves of their upkeep, and the answers to duty orders."""
+"""Machines, their maintenance waves and the platform's answers to machine orders."""
 
 import dataclasses
 import enum
@@ -6,7 +6,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wave:
-    """Machines whose upkeep is due within a time, at most ``at_once`` together."""
+    """Machines that need maintenance within a time.
+
+    :param duration_ms: time within which the maintenance of every machine must begin.
+    :param max_concurrent: most machines that may be down for the wave at once.
+    """
 
     number: int
     machines: tuple[str, ...]
@@ -15,7 +19,10 @@
 
 
 class MachineState(enum.Enum):
-    """State of a machine; ``OTHER`` stands for one that is not known here."""
+    """State of a machine.
+
+    ``OTHER`` stands for any state that this version does not know.
+    """
 
     UP = "up"
     MOVING = "moving"
@@ -26,7 +33,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Machine:
-    """One machine; ``executor_id`` is empty while none runs on it."""
+    """A machine of the platform.
+
+    :param executor_id: id of the executor on the machine, or ``""`` for none.
+    """
 
     id: str
     pool: str
@@ -36,12 +46,18 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether the machine can take an order."""
+        """Whether the machine accepts orders."""
         return self.state is MachineState.UP
 
 
 class MachineOrderVerdict(enum.Enum):
-    """How the platform answered a duty order."""
+    """Platform's answer to a maintenance or move order for a machine.
+
+    ``FENCED``: a newer leader has sent an order. ``BUSY``: the machine cannot take the
+    order now. ``OTHER_WAVE``: the machine belongs to another wave, so it needs nothing
+    more for this one. ``REFUSED``: the order had no effect. ``UNKNOWN``: it may have
+    been or may yet be carried out.
+    """
 
     OK = "ok"
     FENCED = "fenced"
--- a/src/cranberrywheel/submission/model.py
+++ b/src/cranberrywheel/submission/model.py
@@ -1,4 +1,4 @@
-"""Submissions, their steps and the configuration that they are run under."""
+"""Submissions, their steps and the operators' configuration."""
 
 import dataclasses
 import enum
@@ -6,7 +6,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resources:
-    """Amounts of cpu (thousandths of a core), memory (MB) and accelerators."""
+    """Amounts of resources.
+
+    :param cpu: thousandths of a core.
+    :param memory_mb: memory in megabytes.
+    :param gpu: number of accelerators.
+    """
 
     cpu: int = 0
     memory_mb: int = 0
@@ -26,12 +31,12 @@
             self.gpu - other.gpu,
         )
 
-    def fits_in(self, room: "Resources") -> bool:
-        """Tell whether this amount fits into ``room``."""
+    def fits_in(self, available: "Resources") -> bool:
+        """Tell whether no amount exceeds that of ``available``."""
         return (
-            self.cpu <= room.cpu
-            and self.memory_mb <= room.memory_mb
-            and self.gpu <= room.gpu
+            self.cpu <= available.cpu
+            and self.memory_mb <= available.memory_mb
+            and self.gpu <= available.gpu
         )
 
 
@@ -40,23 +45,30 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """Tasks of one kind within a submission.
+    """Identical tasks within a submission.
+
+    Stored records use the field names.
 
     :param count: number of tasks.
-    :param estimated_ms: declared duration of a task; may be far off.
-    :param after: earlier steps whose tasks must all be done first.
-    :param checkpointing: its tasks save their progress.
-    :param gang: its tasks work only while all of them run.
-    :param colocate: its tasks are slower on more than one rack.
-    :param required_label: label that the executor must have, or ``""``.
-    :param data_rack: rack near the data, or ``""``.
+    :param size: resources that one task uses.
+    :param estimated_ms: declared duration of a task; may differ widely from the true
+        one.
+    :param after: numbers of the steps whose tasks must all be done first.
+    :param checkpointing: tasks save checkpoints, from which a later run resumes.
+    :param gang: tasks make progress only while all of them run.
+    :param colocate: tasks run slower when they are spread over several racks.
+    :param required_label: label that the executor must have, or ``""`` for none.
+    :param data_rack: rack that holds the input data, or ``""`` for none.
     :param anti_affinity: most tasks of the step on one executor; 0 for no limit.
-    :param speculative: copies of a task may run in parallel.
-    :param long_running: its tasks run until the submission is cancelled.
-    :param image: tasks of one image behave alike.
-    :param target_ms: bound on the tail latency of a serving task; 0 for none.
-    :param fills: its cpu is not counted against the executor's capacity.
-    :param may_miss: tasks that planned work may keep away at once.
+    :param speculative: several runs of a task may execute at the same time.
+    :param long_running: tasks run until the submission is cancelled.
+    :param image: name of the program image; tasks of one image behave alike.
+    :param target_ms: limit of the tail latency of a latency-sensitive task; 0 for
+        none.
+    :param fills: background tasks, which use spare cpu: their cpu is not counted
+        against the executor's capacity.
+    :param may_miss: most tasks of a long-running step that planned maintenance may
+        make unavailable at once.
     """
 
     count: int
@@ -78,7 +90,7 @@
 
     @property
     def claim(self) -> Resources:
-        """What a task takes of an executor's capacity."""
+        """Capacity that a task reserves on an executor."""
         if self.fills:
             return Resources(0, self.size.memory_mb, self.size.gpu)
         return self.size
@@ -86,7 +98,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Schedule:
-    """Due times of a repeated submission, in Unix milliseconds."""
+    """Due times of a repeated submission.
+
+    :param start_at_ms: Unix time of the first occurrence, in milliseconds.
+    :param interval_ms: time between two occurrences, in milliseconds.
+    :param repeat_count: number of occurrences.
+    """
 
     start_at_ms: int
     interval_ms: int
@@ -95,13 +112,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Submission:
-    """What a caller handed in.
+    """Work that a caller submitted. Stored records use the field names.
 
-    :param payload: opaque text for the executors.
     :param queue: key of the queue, from :func:`queue_key`.
     :param service: service of the queue when the submission was accepted.
-    :param organisation: owner of the key that came with it; ``""`` for none.
-    :param accepted_ms: Unix time at which an entry accepted it.
+    :param organisation: owner of the API key of the call; ``""`` for a call without
+        one.
+    :param payload: opaque text for the executors.
+    :param accepted_ms: Unix time of acceptance, in milliseconds.
+    :param schedule: due times, or ``None`` to run the steps once and at once.
     """
 
     id: str
@@ -115,7 +134,7 @@
 
 
 class SubmissionState(enum.Enum):
-    """State of a submission as callers see it."""
+    """State of a submission that callers see."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -134,7 +153,7 @@
 
 
 def queue_key(host: str, prefix: str) -> str:
-    """Return the key of a queue: a host and a path prefix name it."""
+    """Return the key of a queue: its host and path prefix, separated by a space."""
     return f"{host} {prefix}"
 
 
@@ -142,13 +161,20 @@
 class Queue:
     """A queue of the configuration.
 
-    :param priority: 0 comes first.
+    The latency objective of a submission is ``objective_factor`` times the length of
+    its critical path plus ``objective_ms``.
+
+    :param host: host of the calls that belong to the queue.
+    :param prefix: path prefix of the calls that belong to the queue.
+    :param service: pool of executors that runs the queue's tasks.
+    :param priority: 0 is the highest.
     :param attempts: failed runs of one task after which its submission fails.
-    :param goal_factor: response-time goal as a multiple of the longest chain.
-    :param goal_ms: constant part of the response-time goal.
-    :param timeout_ms: how long callers may wait for an answer.
-    :param public: calls need no key.
-    :param advised: an outside service tells which executors may run a step.
+    :param objective_factor: part of the latency objective that grows with the
+        critical path.
+    :param objective_ms: constant part of the latency objective, in milliseconds.
+    :param timeout_ms: how long callers may wait for an answer, in milliseconds.
+    :param public: calls need no API key.
+    :param advised: the external advisor decides which executors may run a step.
     """
 
     name: str
@@ -165,13 +191,17 @@
 
     @property
     def key(self) -> str:
-        """Key of the queue."""
+        """Key of the queue, see :func:`queue_key`."""
         return queue_key(self.host, self.prefix)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A pool of executors; those of a standby pool are switched off."""
+    """A pool of executors.
+
+    :param standby: the pool's machines are switched off and serve as a reserve for
+        the other pools.
+    """
 
     name: str
     standby: bool = False
@@ -179,7 +209,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Organisation:
-    """A tenant: its weight when all is full and its cap; 0 means no limit."""
+    """A tenant.
+
+    :param weight: share of the capacity, relative to others, when all of it is in use.
+    :param quota: most resources that its runs may use at once; 0 means no limit.
+    """
 
     name: str
     weight: float = 1.0
@@ -191,6 +225,7 @@
     """One version of the operators' configuration.
 
     :param queues_by_host: queues of each host, longest prefix first.
+    :param max_body_bytes: largest accepted request body.
     """
 
     version: int
@@ -202,7 +237,10 @@
     max_body_bytes: int = 262_144
 
     def find_queue(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of a path."""
+        """Return the queue with the longest prefix that a path starts with.
+
+        :returns: ``None`` if no queue of the host matches.
+        """
         for queue in self.queues_by_host.get(host, ()):
             if path.startswith(queue.prefix):
                 return queue
--- a/src/cranberrywheel/submission/placement.py
+++ b/src/cranberrywheel/submission/placement.py
@@ -81,7 +81,8 @@
     value = free.cpu / max(1, capacity.cpu)
     if step.long_running:
         value = (
-            free.memory_mb / max(1, capacity.memory_mb) - executor.serving_count * 0.3
+            free.memory_mb / max(1, capacity.memory_mb)
+            - executor.latency_sensitive_count * 0.3
         )
         if executor.entry.machine in leaving:
             value -= LEAVING_PENALTY
@@ -92,9 +93,9 @@
         if executor.entry.rack in racks:
             value += LOCALITY_BONUS
     if step.fills:
-        value -= INTERFERENCE_PENALTY * executor.serving_count
+        value -= INTERFERENCE_PENALTY * executor.latency_sensitive_count
     elif step.target_ms:
-        value -= INTERFERENCE_PENALTY * executor.filling_count
+        value -= INTERFERENCE_PENALTY * executor.background_count
     if executor.suspect_until_ms > now_ms:
         value -= SUSPECT_PENALTY
     return value
--- a/src/cranberrywheel/submission/platform_timing.py
+++ b/src/cranberrywheel/submission/platform_timing.py
@@ -1,15 +1,15 @@
-"""Figures of the deployment that decisions depend on."""
+"""Timing of the deployment that decisions depend on."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformTiming:
-    """Figures of the deployment, in milliseconds.
+    """Timing of the deployment, in milliseconds.
 
     :param grace_ms: time between SIGTERM and the kill of a process.
-    :param order_lease_ms: pause between duty orders of two holders.
-    :param upkeep_ms: how long a machine's upkeep takes.
+    :param order_lease_ms: shortest time between machine orders of two leaders.
+    :param maintenance_ms: how long the maintenance of a machine takes.
     """
 
     grace_ms: int = 6_000
--- a/src/cranberrywheel/submission/reports.py
+++ b/src/cranberrywheel/submission/reports.py
@@ -1,7 +1,7 @@
 """What executors report: answers to looks and orders, and what follows from them."""
 
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.submission import actions as a
+from cranberrywheel.submission import actions
 from cranberrywheel.submission.executor import Executor, PendingCompletion
 from cranberrywheel.submission.executor_orders import (
     CompletionReport,
@@ -306,7 +306,7 @@
         or task.step_run.live.final_state
         or (task.runs and not task.step_run.step.speculative)
     ):
-        state.actions.append(a.StopRun(executor.id, row.task, row.number))
+        state.actions.append(actions.StopRun(executor.id, row.task, row.number))
         return None
     run = Run(task, row.number, executor.id, now_ms)
     run.state = RunState.RUNNING
--- a/src/cranberrywheel/submission/scheduler.py
+++ b/src/cranberrywheel/submission/scheduler.py
@@ -6,8 +6,7 @@
 :mod:`.handover` and :mod:`.demand`.
 """
 
-from cranberrywheel.submission import actions as a
-from cranberrywheel.submission import reports, scheduling_pass
+from cranberrywheel.submission import actions, reports, scheduling_pass
 from cranberrywheel.submission.executor import Executor
 from cranberrywheel.submission.executor_orders import (
     ExecutorEntry,
@@ -201,7 +200,7 @@
             > max(executor.lease_expiry_ms, executor.unregistered_ms) + FORGET_DELAY_MS
         ):
             self.forget_executor(executor)
-            self.actions.append(a.DeleteExecutorRecord(executor.id))
+            self.actions.append(actions.DeleteExecutorRecord(executor.id))
             return
         for run in list(executor.runs.values()):
             if run.state is RunState.STOPPING:
@@ -212,7 +211,7 @@
                 ):
                     run.stop_sent_ms = now_ms
                     self.actions.append(
-                        a.StopRun(executor.id, run.task.name, run.number, run)
+                        actions.StopRun(executor.id, run.task.name, run.number, run)
                     )
             elif run.state is RunState.RUNNING and is_stalled(
                 run, executor, self.duration_estimates, now_ms
@@ -229,7 +228,7 @@
         """Start what can start."""
         scheduling_pass.start_waiting_tasks(self, now_ms, unix_ms)
 
-    def take_actions(self) -> list[a.Action]:
+    def take_actions(self) -> list[actions.Action]:
         """Return what has to be done, and forget it."""
         taken, self.actions = self.actions, []
         return taken
--- a/src/cranberrywheel/submission/scheduling_pass.py
+++ b/src/cranberrywheel/submission/scheduling_pass.py
@@ -9,7 +9,7 @@
 import typing as t
 
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.submission import actions as a
+from cranberrywheel.submission import actions
 from cranberrywheel.submission.executor import Executor
 from cranberrywheel.submission.live import LiveSubmission, Run, StepRun, Task
 from cranberrywheel.submission.model import NO_RESOURCES, Resources
@@ -196,7 +196,7 @@
         free_cpu=executor.free.cpu,
         config=state.configuration.version if state.configuration else 0,
     )
-    state.actions.append(a.StartRun(run, ticket))
+    state.actions.append(actions.StartRun(run, ticket))
 
 
 def _is_within_quota(
@@ -232,5 +232,5 @@
     ids = tuple(executor.id for executor in pool if executor.is_usable)
     if ids:
         state.advice_by_step[step_run.name] = Advice({}, 0, pending=True)
-        state.actions.append(a.RequestAdvice(step_run.name, ids))
+        state.actions.append(actions.RequestAdvice(step_run.name, ids))
     return {}
--- a/src/cranberrywheel/submission/state.py
+++ b/src/cranberrywheel/submission/state.py
@@ -4,7 +4,7 @@
 import typing as t
 
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.submission import actions as a
+from cranberrywheel.submission import actions
 from cranberrywheel.submission.duration_estimates import DurationEstimates
 from cranberrywheel.submission.executor import Executor, lease_expiry_delay_ms
 from cranberrywheel.submission.live import (
@@ -83,7 +83,7 @@
         self.duration_estimates = DurationEstimates()
         self.advice_by_step: dict[str, Advice] = {}
         self.used_by_organisation: dict[str, Resources] = {}
-        self.actions: list[a.Action] = []
+        self.actions: list[actions.Action] = []
 
     # Executors
 
@@ -214,7 +214,9 @@
             executor=run.executor_id,
             reason=why,
         )
-        self.actions.append(a.StopRun(run.executor_id, run.task.name, run.number, run))
+        self.actions.append(
+            actions.StopRun(run.executor_id, run.task.name, run.number, run)
+        )
 
     # Submissions
 
--- a/tests/test_throttling.py
+++ b/tests/test_throttling.py
@@ -1,4 +1,4 @@
-"""Pace of filling tasks beside serving ones, decided without input or output."""
+"""Throttling of background tasks beside latency-sensitive ones, without I/O."""
 
 from leader_harness import make_step, make_submission
 
@@ -9,20 +9,20 @@
 from cranberrywheel.submission.model import Queue, Resources
 from cranberrywheel.submission.throttling import (
     MIN_CHANGE_INTERVAL_MS,
-    OVER_TARGET_DELAY_MS,
+    OVER_LIMIT_DELAY_MS,
     decide_throttling,
 )
 
 
 def make_executor():
-    """An executor with one serving and one filling run."""
+    """Build an executor with one latency-sensitive and one background run."""
     entry = ExecutorEntry(
         "a", "s", "a", "z", False, Resources(8_000, 8_000, 0), frozenset(), "", "m", 1
     )
     executor = Executor(entry, True, 0)
-    serving = make_step(1, long_running=True, target_ms=100)
-    filling = make_step(1, long_running=True, fills=True)
-    submission = make_submission("s1", serving, filling)
+    sensitive = make_step(1, long_running=True, target_ms=100)
+    background = make_step(1, long_running=True, fills=True)
+    submission = make_submission("s1", sensitive, background)
     live = LiveSubmission(submission, Queue("q", "h", "/", "s"), False)
     live.begin_occurrence()
     runs = []
@@ -34,40 +34,41 @@
     return executor, *runs
 
 
-def paces(actions):
+def speeds(actions):
     return [action.percent for action in actions if isinstance(action, ThrottleRun)]
 
 
-def test_filling_task_is_slowed_when_the_serving_one_is_over_its_target():
-    """A serving task that is harmed for seconds by what fills beside it."""
-    executor, serving, _ = make_executor()
-    serving.load = 150
-    assert paces(decide_throttling([executor], 5_000)) == []
-    assert paces(decide_throttling([executor], 5_000 + OVER_TARGET_DELAY_MS)) == [40]
-    later = 5_000 + OVER_TARGET_DELAY_MS + MIN_CHANGE_INTERVAL_MS
-    assert paces(decide_throttling([executor], later)) == [0]
+def test_background_run_is_throttled_while_latency_is_over_its_limit():
+    """Guards against a latency-sensitive task that stays over its limit for seconds
+    because of a background task on the same executor."""
+    executor, sensitive, _ = make_executor()
+    sensitive.load = 150
+    assert speeds(decide_throttling([executor], 5_000)) == []
+    assert speeds(decide_throttling([executor], 5_000 + OVER_LIMIT_DELAY_MS)) == [40]
+    later = 5_000 + OVER_LIMIT_DELAY_MS + MIN_CHANGE_INTERVAL_MS
+    assert speeds(decide_throttling([executor], later)) == [0]
 
 
-def test_short_peak_changes_nothing():
-    """A pace that follows every single reading."""
-    executor, serving, _ = make_executor()
-    serving.load = 150
+def test_short_latency_peak_does_not_throttle():
+    """Guards against a speed that changes with every single latency reading."""
+    executor, sensitive, _ = make_executor()
+    sensitive.load = 150
     decide_throttling([executor], 5_000)
-    serving.load = 80
-    assert paces(decide_throttling([executor], 5_000 + OVER_TARGET_DELAY_MS)) == []
+    sensitive.load = 80
+    assert speeds(decide_throttling([executor], 5_000 + OVER_LIMIT_DELAY_MS)) == []
 
 
-def test_pace_is_raised_again_in_steps():
-    """A filling task that stays paused when the load is gone."""
-    executor, serving, filling = make_executor()
-    filling.speed_percent, serving.load = 0, 20
-    assert paces(decide_throttling([executor], 5_000)) == [25]
-    assert paces(decide_throttling([executor], 5_000 + MIN_CHANGE_INTERVAL_MS)) == [50]
+def test_speed_is_raised_in_steps_once_latency_is_low():
+    """Guards against a background task that stays paused after the load is gone."""
+    executor, sensitive, background = make_executor()
+    background.speed_percent, sensitive.load = 0, 20
+    assert speeds(decide_throttling([executor], 5_000)) == [25]
+    assert speeds(decide_throttling([executor], 5_000 + MIN_CHANGE_INTERVAL_MS)) == [50]
 
 
-def test_filling_task_alone_runs_at_full_pace():
-    """A pace that outlives the serving task it was set for."""
-    executor, serving, filling = make_executor()
-    executor.remove_run(serving)
-    filling.speed_percent = 0
-    assert paces(decide_throttling([executor], 5_000)) == [100]
+def test_background_run_alone_gets_full_speed():
+    """Guards against a throttle that outlasts the latency-sensitive task."""
+    executor, sensitive, background = make_executor()
+    executor.remove_run(sensitive)
+    background.speed_percent = 0
+    assert speeds(decide_throttling([executor], 5_000)) == [100]
