--- a/src/cranberrywheel/submission/executor.py
+++ b/src/cranberrywheel/submission/executor.py
@@ -1,4 +1,4 @@
-"""State of one executor as the leader knows it."""
+"""Leader's view of an executor: its lease, its runs and its reachability."""
 
 import collections
 import dataclasses
@@ -7,20 +7,28 @@
 from cranberrywheel.submission.live import LiveSubmission, Run, StepRun
 from cranberrywheel.submission.model import NO_RESOURCES, Resources
 
-#: An executor's clock may be 2% slow, so a lease may last that much longer.
+#: An executor's clock may be 2% slow, so a lease may last that much longer there.
 MAX_CLOCK_DRIFT_FACTOR = 1.02
-#: Covers the time of a call and rounding when a lease is counted out.
+#: Added to a lease to cover the duration of the call that granted it and rounding.
 EXPIRY_SLACK_MS = 200
 
 
 def lease_expiry_delay_ms(lease_ms: int) -> int:
-    """Return the time after which a lease has certainly ended, in milliseconds."""
+    """Return the time after which a lease has expired on any clock, in milliseconds.
+
+    :param lease_ms: granted duration in milliseconds.
+    """
     return int(lease_ms * MAX_CLOCK_DRIFT_FACTOR) + EXPIRY_SLACK_MS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PendingCompletion:
-    """An end that may be acknowledged once its submission's record is stored."""
+    """A completion that is acknowledged once its submission's record is stored.
+
+    :param sequence: position in the executor's list of completions.
+    :param live: submission of the run, or ``None`` if nothing has to be stored.
+    :param version: version of the submission's record that contains the completion.
+    """
 
     sequence: int
     live: LiveSubmission | None
@@ -28,21 +36,34 @@
 
     @property
     def is_stored(self) -> bool:
-        """Whether nothing is lost if the executor forgets the end."""
+        """Whether the executor may forget the completion without a loss."""
         live = self.live
         return live is None or live.final_stored or live.stored_version >= self.version
 
 
 class Executor:
-    """One executor: what runs on it, its lease and its reachability.
-
-    :ivar fenced: it has seen this leader's fence in its present boot.
-    :ivar lapse_ms: when every lease that any order may have granted has ended.
-    :ivar reachable: the last look was answered.
-    :ivar cordoned: takes no new work, for planned work on its machine.
-    :ivar free: capacity that no run claims.
-    :ivar count_by_step: runs of each step that are here.
-    :ivar trouble: recent failures of runs, decaying; see :mod:`.suspicion`.
+    """An executor and the runs that may be on it. Times are steady milliseconds.
+
+    :ivar registered: its entry is in the store.
+    :ivar unregistered_ms: when its entry disappeared; 0 while it is registered.
+
+    :ivar fence_confirmed: its present boot has answered a poll of this leader.
+    :ivar reachable: the last poll was answered.
+    :ivar lease_expiry_ms: when every lease that any order may have granted has expired.
+    :ivar free: capacity that no run reserves.
+    :ivar count_by_step: number of runs of each step.
+    :ivar cordoned: accepts no new runs, because its machine is due for maintenance or
+        a move.
+    :ivar clock_offset_ms: its clock minus the leader's; ``None`` until it is known.
+    :ivar clock_read_ms: when its clock was last read.
+    :ivar received_sequence: last completion that the leader has received.
+    :ivar acknowledged_sequence: last completion that the executor may forget.
+    :ivar fault_count: recent faults with exponential decay, see
+        :mod:`.fault_detection`.
+    :ivar fault_counted_ms: when ``fault_count`` was last updated.
+    :ivar suspect_until_ms: until when other executors are preferred.
+    :ivar background_count: number of background runs.
+    :ivar latency_sensitive_count: number of latency-sensitive runs.
     """
 
     def __init__(
@@ -80,7 +101,7 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether new runs may start here."""
+        """Whether new runs may start on it."""
         return (
             self.registered
             and self.fence_confirmed
@@ -90,21 +111,21 @@
         )
 
     def set_entry(self, entry: ExecutorEntry) -> None:
-        """Take a newer entry over."""
+        """Replace the entry by a newer one."""
         self.entry = entry
         self.free = entry.capacity - self.used
 
     def add_run(self, run: Run) -> None:
-        """Count a run that may be there."""
+        """Track a run that may be on the executor and reserve its capacity."""
         self.runs[run.key] = run
-        self._count(run, 1)
+        self._update_usage(run, 1)
 
     def remove_run(self, run: Run) -> None:
-        """Count a run that is certainly not there any more."""
+        """Release the capacity of a run that is certainly not on the executor."""
         if self.runs.pop(run.key, None) is not None:
-            self._count(run, -1)
+            self._update_usage(run, -1)
 
-    def _count(self, run: Run, sign: int) -> None:
+    def _update_usage(self, run: Run, sign: int) -> None:
         step_run = run.task.step_run
         step = step_run.step
         self.used = self.used + step.claim if sign > 0 else self.used - step.claim
@@ -118,27 +139,30 @@
             self.count_by_step.pop(step_run, None)
 
     def update_clock(self, clock_ms: int, now_ms: int) -> None:
-        """Learn the executor's clock from an answer."""
+        """Update the clock offset from an answer.
+
+        :param clock_ms: executor's clock; 0 if the answer has none.
+        """
         if clock_ms:
             self.clock_offset_ms = clock_ms - now_ms
             self.clock_read_ms = now_ms
 
     def extend_lease(self, lease_ms: int, now_ms: int) -> int:
-        """Return a deadline on the executor's clock and count the lease.
+        """Compute the deadline of a lease and extend the lease expiry to cover it.
 
-        :returns: the deadline, or 0 while the clock is not known.
+        :returns: the deadline on the executor's clock, or 0 while that is not known.
         """
         if self.clock_offset_ms is None:
             return 0
         self.lease_expiry_ms = max(
             self.lease_expiry_ms, now_ms + lease_expiry_delay_ms(lease_ms)
         )
-        # A slow clock has moved less than ours since it was read.
+        # A slow clock has advanced less than the leader's since it was read.
         drift_ms = int((now_ms - self.clock_read_ms) * (MAX_CLOCK_DRIFT_FACTOR - 1))
         return now_ms + self.clock_offset_ms - drift_ms + lease_ms
 
     def restart(self, boot: int) -> None:
-        """Forget what an earlier boot has said."""
+        """Reset what was learned from an earlier boot."""
         self.boot = boot
         self.fence_confirmed = False
         self.clock_offset_ms = None
@@ -147,7 +171,10 @@
         self.pending_completions.clear()
 
     def advance_acknowledged(self) -> bool:
-        """Move the cursor over ends that are stored; true if it moved."""
+        """Move the acknowledgement cursor over completions that are stored.
+
+        :returns: whether it moved.
+        """
         before = self.acknowledged_sequence
         while self.pending_completions and self.pending_completions[0].is_stored:
             self.acknowledged_sequence = self.pending_completions.popleft().sequence
@@ -155,7 +182,7 @@
 
     @property
     def needs_poll(self) -> bool:
-        """Whether there is anything to learn or to renew."""
+        """Whether a poll can bring news, renew a lease or acknowledge a completion."""
         if self.runs or not self.fence_confirmed:
             return True
         return (
--- a/src/cranberrywheel/submission/handover.py
+++ b/src/cranberrywheel/submission/handover.py
@@ -1,4 +1,8 @@
-"""What a leader that stops leaves to the next one."""
+"""Handover of tracked runs and unstored progress from a leader to its successor.
+
+A leader that stops in good order stores a handover record. With it, the successor
+need not wait until every lease of its predecessor has expired.
+"""
 
 import dataclasses
 import json
@@ -9,7 +13,7 @@
 from cranberrywheel.submission.record import Progress
 from cranberrywheel.submission.state import SchedulerState
 
-#: Fence of an account that no leader may use.
+#: Fence of a handover record that no leader may use.
 NO_FENCE = 0
 
 _log = PartLogger("leader")
@@ -17,9 +21,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandedOverRun:
-    """A run that a leader hands over.
+    """A run in a handover record. The record holds the fields by position.
 
-    :param lapse_ms: time until its lease has certainly ended.
+    :param expires_in_ms: time until its lease has expired on any clock, in
+        milliseconds.
     """
 
     task: str
@@ -30,13 +35,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class HandoverRecord:
-    """What a leader leaves to the next one.
-
-    :param fence: fence of the leader that wrote it.
-    :param progress_by_id: progress that was not stored yet.
-    :param unseen_ms: time for which an executor that the leader never reached may run
-        something of its predecessors.
-    :param held_back: submissions whose tasks may run there.
+    """State that a leader hands over to its successor.
+
+    :param fence: fence of the leader that wrote the record; a successor of any other
+        leader must not use it.
+    :param runs: runs that may be on executors.
+    :param progress_by_id: progress that was not stored yet, by submission id.
+    :param unpolled_ms: for each executor that never answered a poll of the leader,
+        the time for which it may run tasks of earlier leaders, in milliseconds.
+    :param held_back: ids of the submissions whose tasks may run on those executors.
     :param trusts_records: whether stored records name every step that began.
     """
 
@@ -54,9 +61,10 @@
 def build_handover_record(
     state: SchedulerState, is_complete: bool, now_ms: int
 ) -> HandoverRecord:
-    """Account for every run that may be at an executor, and for what is not stored.
+    """Collect every run that may be on an executor and all progress not yet stored.
 
-    :param is_complete: whether everything stored was loaded before.
+    :param is_complete: whether the leader had loaded all stored records; otherwise the
+        record gets :data:`NO_FENCE`, since it may lack runs.
     """
     unpolled_ms = {
         executor.id: executor.lease_expiry_ms - now_ms
@@ -81,15 +89,15 @@
             if live.stored_version < live.version and not live.cancelled
         },
         unpolled_ms,
-        _held_back(state, unpolled_ms),
+        _find_held_back(state, unpolled_ms),
         state.trusts_records,
     )
 
 
-def _held_back(state: SchedulerState, unseen: t.Iterable[str]) -> list[str]:
-    """Return the submissions whose tasks may run at unseen executors."""
+def _find_held_back(state: SchedulerState, unpolled_ids: t.Iterable[str]) -> list[str]:
+    """Return ids of submissions whose tasks may run on executors without a poll."""
     services = {
-        state.executors_by_id[executor_id].entry.service for executor_id in unseen
+        state.executors_by_id[executor_id].entry.service for executor_id in unpolled_ids
     }
     return [
         live.submission.id
@@ -99,61 +107,71 @@
 
 
 def prepare_takeover(
-    state: SchedulerState, account: HandoverRecord, now_ms: int
+    state: SchedulerState, record: HandoverRecord, now_ms: int
 ) -> None:
-    """Note which executors need no wait, before anything is loaded."""
+    """Record which executors may run unknown tasks, before the state is loaded.
+
+    Only these executors and the held-back submissions have to wait for leases.
+    """
     state.handed_over = True
-    state.held_back_ids = set(account.held_back)
-    state.trusts_records = state.trusts_records and account.trusts_records
+    state.held_back_ids = set(record.held_back)
+    state.trusts_records = state.trusts_records and record.trusts_records
     state.unpolled_until_ms = {
-        executor_id: now_ms + rest_ms
-        for executor_id, rest_ms in account.unpolled_ms.items()
+        executor_id: now_ms + remaining_ms
+        for executor_id, remaining_ms in record.unpolled_ms.items()
     }
 
 
 def apply_handover_record(
-    state: SchedulerState, account: HandoverRecord, now_ms: int
+    state: SchedulerState, record: HandoverRecord, now_ms: int
 ) -> None:
-    """Apply an account to the loaded submissions; looks bring it up to date."""
-    for submission_id, progress in account.progress_by_id.items():
+    """Apply a handover record to the loaded submissions.
+
+    Polls of the executors then update the runs.
+    """
+    for submission_id, progress in record.progress_by_id.items():
         live = state.live_by_id.get(submission_id)
         if live is not None and not live.final_state:
             live.restore(progress)
             state.mark_changed(live)
             state.finish_if_ended(live)
-    for row in account.runs:
-        executor = state.executors_by_id.get(row.executor_id)
-        task = state.find_task(row.task)
+    for handed_run in record.runs:
+        executor = state.executors_by_id.get(handed_run.executor_id)
+        task = state.find_task(handed_run.task)
         if executor is None or task is None or task.done:
             continue
-        run = Run(task, row.number, executor.id, now_ms)
+        run = Run(task, handed_run.number, executor.id, now_ms)
         run.state = RunState.RUNNING
-        task.last_run_number = max(task.last_run_number, row.number)
+        task.last_run_number = max(task.last_run_number, handed_run.number)
         executor.lease_expiry_ms = max(
-            executor.lease_expiry_ms, now_ms + row.expires_in_ms
+            executor.lease_expiry_ms, now_ms + handed_run.expires_in_ms
         )
         state.track_run(run, executor)
 
 
-def encode_handover_record(account: HandoverRecord) -> bytes:
-    """Encode an account."""
+def encode_handover_record(record: HandoverRecord) -> bytes:
+    """Encode a handover record for the store."""
     return json.dumps(
         {
-            "fence": account.fence,
-            "runs": [dataclasses.astuple(run) for run in account.runs],
+            "fence": record.fence,
+            "runs": [dataclasses.astuple(run) for run in record.runs],
             "progress": {
                 submission_id: dataclasses.asdict(progress)
-                for submission_id, progress in account.progress_by_id.items()
+                for submission_id, progress in record.progress_by_id.items()
             },
-            "unseen_ms": account.unpolled_ms,
-            "held_back": account.held_back,
-            "trusts_records": account.trusts_records,
+            "unseen_ms": record.unpolled_ms,
+            "held_back": record.held_back,
+            "trusts_records": record.trusts_records,
         }
     ).encode()
 
 
 def decode_handover_record(value: bytes) -> HandoverRecord | None:
-    """Decode an account; ``None`` if it is none."""
+    """Decode a handover record.
+
+    :returns: ``None`` if the value has another format; the leader then waits until
+        the leases of its predecessor have expired.
+    """
     try:
         row = json.loads(value)
         return HandoverRecord(
@@ -165,5 +183,8 @@
             bool(row["trusts_records"]),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        _log.warning("unreadable account", error=repr(error))
+        _log.warning(
+            "ignored an unreadable handover record, waiting for leases",
+            error=repr(error),
+        )
         return None
--- a/src/cranberrywheel/submission/live.py
+++ b/src/cranberrywheel/submission/live.py
@@ -1,4 +1,4 @@
-"""State of the submissions that are not finished: tasks and their runs."""
+"""State of live submissions, which are accepted and not finished: tasks and runs."""
 
 import dataclasses
 import enum
@@ -11,7 +11,8 @@
 class RunState(enum.Enum):
     """State of a run as the leader knows it.
 
-    ``DOUBTFUL``: a start got no answer. ``STOPPING``: a stop was ordered.
+    ``STARTING``: the start is not answered yet. ``UNCONFIRMED``: the start got no
+    answer, so the run may exist. ``STOPPING``: the leader has ordered a stop.
     """
 
     STARTING = "starting"
@@ -21,12 +22,21 @@
 
 
 class Run:
-    """One start of a task on one executor.
-
-    :ivar changed_ms: when ``percent`` last changed.
-    :ivar slow: its progress has been counted against its executor.
-    :ivar paced: share of its speed that it may work at.
+    """One execution of a task on one executor. Times are steady milliseconds.
+
+    :ivar number: number of the run; rises from run to run of a task.
+    :ivar rack: rack of the executor when the run started.
+    :ivar percent: progress; 100 means that a long-running task is available.
+    :ivar last_progress_ms: when ``percent`` last changed.
+    :ivar load: last reading, see :class:`.executor_orders.RunningReport`.
+    :ivar over_limit_since_ms: since when the latency of a latency-sensitive run is over
+        its limit; 0 while it is not.
+    :ivar speed_percent: speed that the run is throttled to; 100 is full speed.
+    :ivar speed_changed_ms: when ``speed_percent`` last changed.
+    :ivar stop_sent_ms: when the last stop order was sent.
     :ivar stop_confirmed_ms: when the executor confirmed the stop; 0 if not yet.
+    :ivar slowness_recorded: its slow progress has been counted as a fault of its
+        executor.
     """
 
     __slots__ = (
@@ -68,12 +78,21 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Name of the task and number of the run."""
+        """Name of the task and number of the run, as executors identify it."""
         return self.task.name, self.number
 
 
 class Task:
-    """One task with its runs; copies may run side by side in speculative steps."""
+    """A task and its runs; tasks of speculative steps may have several at once.
+
+    :ivar index: position within the step.
+    :ivar name: ``ID.OCCURRENCE.STEP.INDEX``, see :func:`parse_task_name`.
+    :ivar failed_runs: numbers of the runs that ended as failed.
+    :ivar last_run_number: highest number of a run so far.
+    :ivar checkpoint: last saved checkpoint, from which the next run resumes.
+    :ivar avoid_until_ms_by_executor: until when the task should not start on an
+        executor.
+    """
 
     __slots__ = (
         "avoid_until_ms_by_executor",
@@ -92,15 +111,15 @@
     def __init__(self, step_run: "StepRun", index: int) -> None:
         self.step_run = step_run
         self.index = index
-        live = step_run.live.submission
-        self.name = f"{live.id}.{step_run.occurrence}.{step_run.number}.{index}"
+        submission = step_run.live.submission
+        self.name = f"{submission.id}.{step_run.occurrence}.{step_run.number}.{index}"
         self.runs: list[Run] = []
         self.done = False
         self.failed_runs: set[int] = set()
         self.last_run_number = 0
         self.checkpoint = ""
         self.avoid_until_ms_by_executor: dict[str, int] = {}
-        #: Since when a lasting task is at work; 0 while it is not.
+        #: Since when a long-running task is available; 0 while it is not.
         self.available_since_ms = 0
         self.unavailable_since_ms = 0
 
@@ -108,11 +127,12 @@
 class StepRun:
     """A step of one occurrence of a submission.
 
-    :ivar waiting: tasks without a run that are not done, by index; changed only
-        through the methods, which keep the submission's list of ready steps.
-    :ivar begin_version: version of the record that says that the step begins; 0
-        before.
-    :ivar begun_before: an earlier leader may have started tasks of it.
+    :ivar number: position within the submission.
+    :ivar waiting: tasks that wait for a start, by index; changed only through the
+        methods, which invalidate the submission's cached list of ready steps.
+    :ivar begin_record_version: version of the submission's record that states that the
+        step has begun; 0 until it begins.
+    :ivar may_have_begun: an earlier leader may have started tasks of it.
     """
 
     __slots__ = (
@@ -140,7 +160,7 @@
 
     @property
     def name(self) -> str:
-        """Submission, occurrence and step."""
+        """``ID.OCCURRENCE.STEP``."""
         return f"{self.live.submission.id}.{self.occurrence}.{self.number}"
 
     @property
@@ -149,7 +169,7 @@
         return self.done_count == len(self.tasks)
 
     def mark_done(self, task: Task) -> None:
-        """Note that a task is done."""
+        """Mark a task as done and drop it from the waiting tasks."""
         if not task.done:
             task.done = True
             self.done_count += 1
@@ -157,13 +177,13 @@
             self.live.invalidate_derived()
 
     def add_waiting(self, task: Task) -> None:
-        """Let a task wait for a start."""
+        """Add a task that waits for a start."""
         if not self.waiting:
             self.live.invalidate_derived()
         self.waiting[task.index] = task
 
     def remove_waiting(self, task: Task) -> None:
-        """Note that a task waits no more."""
+        """Remove a task that no longer waits for a start."""
         self.waiting.pop(task.index, None)
         if not self.waiting:
             self.live.invalidate_derived()
@@ -173,9 +193,10 @@
 class RemainingWork:
     """Remaining work of a submission.
 
-    :param chain_ms: duration of its longest chain of steps.
-    :param whole_chain_ms: the same with what is done already.
-    :param core_ms: core-milliseconds.
+    :param critical_path_ms: duration of the longest chain of unfinished steps, in
+        milliseconds.
+    :param total_critical_path_ms: the same over all steps, finished ones included.
+    :param core_ms: processor time of the unfinished tasks, in core-milliseconds.
     """
 
     critical_path_ms: float
@@ -184,15 +205,21 @@
 
 
 class LiveSubmission:
-    """A submission that is not finished.
-
-    :ivar started: a run of it has certainly been at an executor.
-    :ivar version: rises with each change that must be stored.
-    :ivar stored_version: version that the store is known to hold.
-    :ivar recovered: read from the store at a take-over, so that tasks of it may
-        already run where the leader has not looked yet.
-    :ivar declared_remaining: remaining work by declared durations; ``None`` until it
-        is asked for after a change.
+    """A submission that is accepted and not finished.
+
+    :ivar recovered: it was read from the store at a takeover, so tasks of it may
+        already run on executors that the leader has not polled yet.
+    :ivar started: an executor has certainly started a run of it.
+    :ivar final_state: state in which it ended; ``None`` until then.
+    :ivar final_stored: the store holds the final state.
+    :ivar version: incremented with each change that must be stored.
+    :ivar stored_version: latest version that the store is known to hold.
+    :ivar progress_revision: store revision of its progress record; 0 for none.
+    :ivar begun_occurrences: number of occurrences whose steps were created.
+    :ivar step_runs: steps by occurrence and number.
+    :ivar run_count: number of runs that may be on executors.
+    :ivar declared_remaining: cached remaining work by declared durations; ``None``
+        after a change.
     """
 
     def __init__(self, submission: Submission, queue: Queue, recovered: bool) -> None:
@@ -214,17 +241,17 @@
         self._ready_steps: tuple[StepRun, ...] | None = None
 
     def invalidate_derived(self) -> None:
-        """Work ready steps and remaining work out again when they are asked for."""
+        """Clear the cached ready steps and remaining work after a change."""
         self._ready_steps = None
         self.declared_remaining = None
 
     @property
     def has_waiting(self) -> bool:
-        """Whether any task has no run and is not done."""
+        """Whether any task waits for a start."""
         return any(step_run.waiting for step_run in self.step_runs.values())
 
     def ready_steps(self) -> tuple[StepRun, ...]:
-        """Return the steps with waiting tasks whose earlier steps are done."""
+        """Return the steps with waiting tasks whose predecessors are done."""
         if self._ready_steps is None:
             self._ready_steps = tuple(
                 step_run
@@ -235,12 +262,12 @@
 
     @property
     def occurrences(self) -> int:
-        """How many times the steps run."""
+        """Number of times that the steps run."""
         schedule = self.submission.schedule
         return schedule.repeat_count if schedule else 1
 
     def due_ms(self, occurrence: int) -> int:
-        """Return the Unix time from which an occurrence may start."""
+        """Return the Unix time in milliseconds from which an occurrence may start."""
         schedule = self.submission.schedule
         if schedule is None:
             return 0
@@ -255,7 +282,7 @@
             self.step_runs[occurrence, number] = StepRun(self, occurrence, number)
 
     def is_ready(self, step_run: StepRun) -> bool:
-        """Whether all steps that come before a step are done."""
+        """Tell whether all predecessors of a step are done."""
         return all(
             self.step_runs[step_run.occurrence, earlier].is_done
             for earlier in step_run.step.after
@@ -269,7 +296,10 @@
         )
 
     def state(self) -> SubmissionState:
-        """Return the state that callers may see."""
+        """Return the state that callers see.
+
+        A final state other than ``CANCELLED`` shows only once it is stored.
+        """
         if self.cancelled:
             return SubmissionState.CANCELLED
         if self.final_state and self.final_stored:
@@ -277,7 +307,10 @@
         return SubmissionState.RUNNING if self.started else SubmissionState.PENDING
 
     def find_task(self, occurrence: int, step: int, index: int) -> Task | None:
-        """Return a task, beginning occurrences up to its own."""
+        """Return a task, or ``None`` if the submission has none of these numbers.
+
+        Occurrences up to that of the task are begun.
+        """
         if not (0 <= occurrence < self.occurrences and 0 <= step):
             return None
         if step >= len(self.submission.steps):
@@ -293,12 +326,12 @@
             yield from step_run.tasks
 
     def runs(self) -> t.Iterator[Run]:
-        """Iterate over all runs."""
+        """Iterate over the runs of all tasks."""
         for task in self.tasks():
             yield from task.runs
 
     def progress(self) -> Progress:
-        """Return what the store has to keep."""
+        """Return the progress that must be stored."""
         progress = Progress()
         for (occurrence, number), step_run in self.step_runs.items():
             if step_run.begin_record_version or step_run.may_have_begun:
@@ -320,7 +353,8 @@
 
     def restore(self, progress: Progress) -> None:
         """Apply a stored progress record."""
-        # A step is marked as begun before its first start, which may still fail.
+        # The begun steps do not count: a step is recorded as begun before its first
+        # start, which may still fail.
         self.started = bool(progress.done_by_step or progress.failed_runs_by_task)
         for key in progress.begun_steps:
             occurrence, number = map(int, key.split("."))
@@ -344,7 +378,10 @@
 
 
 def parse_task_name(name: str) -> tuple[str, int, int, int] | None:
-    """Split ``ID.OCCURRENCE.STEP.INDEX``; ``None`` if it is none."""
+    """Split a task name of the form ``ID.OCCURRENCE.STEP.INDEX``.
+
+    :returns: ``None`` for any other form.
+    """
     parts = name.split(".")
     if len(parts) != 4 or not all(part.isdecimal() for part in parts[1:]):
         return None
