--- a/src/cranberrywheel/submission/queue_order.py
+++ b/src/cranberrywheel/submission/queue_order.py
@@ -1,21 +1,23 @@
-"""Order of waiting work at the worst load: each queue in turn asks for more than
-its pool holds.
+"""Order in which waiting work is started.
 
-Work that can still meet its goal goes first, the least remaining work foremost, so
-that a short peak leaves as few submissions late as it can. What can no longer earn
-its full benefit goes behind, in the order of arrival, and is still finished.
+Load pattern: each queue in turn has a burst that demands more than its pool holds.
+
+Submissions that can still meet their latency objective go first, ordered by least
+remaining work, so that a short burst leaves as few submissions late as possible.
+Submissions that can no longer meet it follow in the order of arrival and are still
+finished.
 """
 
 from cranberrywheel.submission.live import LiveSubmission, RemainingWork
 
-#: Groups of waiting work; a lower one goes first.
+#: Priority groups of waiting work; the lowest goes first.
 LONG_RUNNING, ON_TIME, LATE = 0, 1, 2
 
 
 def remaining_work(live: LiveSubmission, duration_factor: float) -> RemainingWork:
-    """Work out what is left of a submission's begun occurrences.
+    """Estimate the remaining work of a submission's begun occurrences.
 
-    :param duration_factor: true durations as a multiple of the declared ones.
+    :param duration_factor: expected durations as a multiple of the declared ones.
     """
     declared = live.declared_remaining
     if declared is None:
@@ -30,40 +32,47 @@
 def _declared_remaining(live: LiveSubmission) -> RemainingWork:
     steps = live.submission.steps
     core_ms = 0.0
-    longest = 0.0
-    longest_whole = 0.0
+    critical_path_ms = 0.0
+    total_critical_path_ms = 0.0
     for occurrence in range(live.begun_occurrences):
-        ends: list[float] = []
-        whole_ends: list[float] = []
+        ends_ms: list[float] = []
+        total_ends_ms: list[float] = []
         for number, step in enumerate(steps):
             step_run = live.step_runs[occurrence, number]
-            left = step.count - step_run.done_count
-            core_ms += left * step.estimated_ms * step.size.cpu / 1000
-            begin = max((ends[earlier] for earlier in step.after), default=0.0)
-            ends.append(begin + (step.estimated_ms if left else 0.0))
-            begin = max((whole_ends[earlier] for earlier in step.after), default=0.0)
-            whole_ends.append(begin + step.estimated_ms)
-        longest = max(longest, *ends)
-        longest_whole = max(longest_whole, *whole_ends)
-    return RemainingWork(longest, longest_whole, core_ms)
+            remaining_count = step.count - step_run.done_count
+            core_ms += remaining_count * step.estimated_ms * step.size.cpu / 1000
+            begin_ms = max(
+                (ends_ms[predecessor] for predecessor in step.after), default=0.0
+            )
+            ends_ms.append(begin_ms + (step.estimated_ms if remaining_count else 0.0))
+            begin_ms = max(
+                (total_ends_ms[predecessor] for predecessor in step.after), default=0.0
+            )
+            total_ends_ms.append(begin_ms + step.estimated_ms)
+        critical_path_ms = max(critical_path_ms, *ends_ms)
+        total_critical_path_ms = max(total_critical_path_ms, *total_ends_ms)
+    return RemainingWork(critical_path_ms, total_critical_path_ms, core_ms)
 
 
 def scheduling_key(
     live: LiveSubmission, remaining: RemainingWork, unix_ms: int
 ) -> tuple[int, int, float]:
-    """Return the sort key of a submission's waiting steps.
+    """Return the sort key of a submission's waiting steps; the smallest goes first.
+
+    The key consists of the priority group, the queue's priority and the remaining
+    work, which the time of acceptance replaces for long-running and late submissions.
 
-    :param unix_ms: time of day.
+    :param unix_ms: time of day in Unix milliseconds.
     """
     queue = live.queue
     if live.has_long_running_step:
         return LONG_RUNNING, queue.priority, live.submission.accepted_ms
     accepted_ms = max(live.submission.accepted_ms, live.due_ms(0))
-    objective_ms = (
+    objective_end_ms = (
         accepted_ms
         + queue.objective_factor * remaining.total_critical_path_ms
         + queue.objective_ms
     )
-    if unix_ms + remaining.critical_path_ms > objective_ms:
+    if unix_ms + remaining.critical_path_ms > objective_end_ms:
         return LATE, queue.priority, accepted_ms
     return ON_TIME, queue.priority, remaining.core_ms
--- a/tests/leader_harness.py
+++ b/tests/leader_harness.py
@@ -1,4 +1,4 @@
-"""A leader on a virtual store and virtual executors, for regression tests."""
+"""A leader on a simulated store and simulated executors, for regression tests."""
 
 import json
 import typing as t
@@ -40,7 +40,10 @@
 def make_configuration(
     queues: t.Sequence[Queue] = (QUEUE,), quota: Resources = NO_RESOURCES
 ) -> Configuration:
-    """Build a configuration with one organisation, ``org``."""
+    """Build a configuration with one organisation, ``org``.
+
+    :param quota: quota of the organisation; no limit by default.
+    """
     by_host: dict[str, tuple[Queue, ...]] = {}
     for queue in queues:
         by_host[queue.host] = (*by_host.get(queue.host, ()), queue)
@@ -73,13 +76,19 @@
 
 
 def make_step(count: int = 1, cpu: int = 1_000, **fields: t.Any) -> Step:
-    """Build a step."""
+    """Build a step; ``fields`` are further fields of :class:`.Step`.
+
+    :param cpu: thousandths of a core that each task uses.
+    """
     fields.setdefault("estimated_ms", 1_000)
     return Step(count=count, size=Resources(cpu, 100, 0), **fields)
 
 
 class LeaderHarness:
-    """A store, executors and at most one leader at a time."""
+    """A simulated store and fleet with at most one leader at a time.
+
+    :ivar stepped_down: reasons for which a leader has stepped down.
+    """
 
     def __init__(self, monkeypatch: t.Any, seed: int = 1) -> None:
         self.loop = VirtualLoop()
@@ -92,24 +101,24 @@
         monkeypatch.setattr(leader_module, "unix_ms", self.unix_ms)
 
     def unix_ms(self) -> int:
-        """Time of day."""
+        """Return the simulated time of day in Unix milliseconds."""
         return UNIX_START_MS + self.loop.clock.now_ms()
 
     @property
     def scheduler(self) -> Scheduler:
-        """The scheduler of the present leader."""
+        """Scheduler of the current leader."""
         assert self.leader is not None
         return self.leader.scheduler
 
     def hand_over(self) -> Leader:
-        """Let the leader give up in good order, and a new one take over."""
+        """Stop the leader, store its handover record and start a successor."""
         assert self.leader is not None
         self.leader.stop()
         self.store.put(HANDOVER_KEY, self.leader.account())
-        return self.lead()
+        return self.start_leader()
 
-    def lead(self) -> Leader:
-        """Let a new leader take over; an earlier one is forgotten."""
+    def start_leader(self) -> Leader:
+        """Start a new leader; an earlier one stops without a handover record."""
         previous_fence = 0
         if self.leader:
             self.leader.stop()
@@ -142,15 +151,19 @@
         duration_ms: int = 1_000,
         long_running: bool = False,
     ) -> None:
-        """Store a submission as an entry does."""
+        """Store a submission as the entry process does.
+
+        :param duration_ms: true duration of each task.
+        :param long_running: tasks run until they are stopped.
+        """
         cpu = submission.steps[0].size.cpu
         self.fleet.describe(submission.id, cpu, duration_ms, long_running)
         self.store.put(submission_key(submission.id), encode_submission(submission))
 
     def cancel(self, submission_id: str) -> None:
-        """Store a cancellation as an entry does."""
+        """Store a cancellation as the entry process does."""
         self.store.put(submission_key(submission_id) + CANCEL_SUFFIX, b"{}")
 
     def run_for(self, duration_ms: int) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         self.loop.run_for(duration_ms)
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -10,7 +10,7 @@
     """A submission that is never started or never shown as completed."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
-    harness.lead()
+    harness.start_leader()
     harness.submit(make_submission("s1", make_step(3), make_step(2, after=(0,))))
     harness.run_for(3_000)
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
@@ -23,14 +23,14 @@
     harness = LeaderHarness(monkeypatch)
     for name in "abc":
         harness.fleet.add(name, "pool")
-    harness.lead()
+    harness.start_leader()
     for index in range(6):
         harness.submit(make_submission(f"s{index}", make_step(2)), 500)
     harness.run_for(450)
     harness.leader.stop()
     harness.run_for(100)  # the runs end while nobody looks
     harness.store.delay_ms_by_prefix["cw/j/"] = 50
-    harness.lead()
+    harness.start_leader()
     harness.run_for(8_000)
     assert harness.fleet.violations == []
     assert [harness.scheduler.state_of(f"s{i}") for i in range(6)] == (
@@ -44,12 +44,12 @@
     harness = LeaderHarness(monkeypatch)
     for name in "abc":
         harness.fleet.add(name, "pool")
-    harness.lead()
+    harness.start_leader()
     step = make_step(3, long_running=True, may_miss=1, anti_affinity=1)
     harness.submit(make_submission("s1", step), long_running=True)
     harness.run_for(2_000)
     harness.store.delay_ms_by_prefix["cw/j/"] = 50
-    harness.lead()
+    harness.start_leader()
     harness.run_for(2_000)
     assert harness.fleet.starts == 3
 
@@ -60,14 +60,14 @@
     harness = LeaderHarness(monkeypatch)
     for name in "ab":
         harness.fleet.add(name, "pool", cpu=1_000)
-    harness.lead()
+    harness.start_leader()
     harness.run_for(500)
     harness.store.delete("servers/b")
     harness.fleet.by_id["b"].cut = True
     harness.run_for(12_000)
     harness.submit(make_submission("s1", make_step(4)), 500)
     harness.run_for(700)
-    harness.lead()
+    harness.start_leader()
     harness.run_for(2_500)
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
 
@@ -77,11 +77,11 @@
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool", cpu=1_000)
     harness.fleet.add("x", "other")
-    harness.lead()
+    harness.start_leader()
     harness.submit(make_submission("s1", make_step(3)), 300)
     harness.run_for(400)
     harness.fleet.by_id["x"].cut = True
-    harness.lead()
+    harness.start_leader()
     harness.run_for(1_500)
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
 
@@ -91,7 +91,7 @@
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
     harness.fleet.add("b", "pool")
-    harness.lead()
+    harness.start_leader()
     harness.submit(make_submission("s1", make_step(6)), 3_000)
     harness.run_for(1_000)
     harness.fleet.by_id["a"].cut = True
@@ -107,7 +107,7 @@
     harness = LeaderHarness(monkeypatch, seed=7)
     for name in "abc":
         harness.fleet.add(name, "pool").mute_share = 0.3
-    harness.lead()
+    harness.start_leader()
     for index in range(10):
         harness.submit(make_submission(f"s{index}", make_step(3)), 700)
     harness.run_for(20_000)
@@ -122,7 +122,7 @@
     """A boot at the same id and address that knows nothing of before."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
-    harness.lead()
+    harness.start_leader()
     harness.submit(make_submission("s1", make_step(2)), 1_000)
     harness.run_for(500)
     harness.fleet.by_id["a"].restart()
@@ -135,14 +135,14 @@
     """Work that runs on after its cancellation."""
     harness = LeaderHarness(monkeypatch)
     executor = harness.fleet.add("a", "pool")
-    harness.lead()
+    harness.start_leader()
     harness.submit(make_submission("s1", make_step(2), make_step(1, after=(0,))), 5_000)
     harness.run_for(300)
     harness.cancel("s1")
     harness.run_for(1_000)
     assert harness.scheduler.state_of("s1") is SubmissionState.CANCELLED
     assert not executor.runs
-    harness.lead()
+    harness.start_leader()
     harness.run_for(1_000)
     assert harness.scheduler.state_of("s1") is SubmissionState.CANCELLED
 
@@ -152,7 +152,7 @@
     harness = LeaderHarness(monkeypatch)
     for name in "abcd":
         harness.fleet.add(name, "pool").fails = True
-    harness.lead()
+    harness.start_leader()
     harness.submit(make_submission("s1", make_step(1)), 200)
     harness.run_for(6_000)
     assert harness.scheduler.state_of("s1") is SubmissionState.FAILED
@@ -165,7 +165,7 @@
     harness = LeaderHarness(monkeypatch)
     for name in "abcdef":
         harness.fleet.add(name, "pool")
-    harness.lead()
+    harness.start_leader()
     step = make_step(4, long_running=True, may_miss=1, anti_affinity=1)
     harness.submit(make_submission("s1", step), long_running=True)
     harness.run_for(2_000)
@@ -186,7 +186,7 @@
     tasks waited until it was back (kayis-ortak scale-1)."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
-    harness.lead()
+    harness.start_leader()
     harness.submit(make_submission("s1", make_step(1)), 2_000)
     harness.run_for(500)
     harness.fleet.add("b", "pool")
@@ -201,7 +201,7 @@
     harness = LeaderHarness(monkeypatch)
     for name in "abcdef":
         harness.fleet.add(name, "pool")
-    harness.lead()
+    harness.start_leader()
     step = make_step(4, long_running=True, may_miss=1, anti_affinity=1)
     harness.submit(make_submission("s1", step), long_running=True)
     harness.run_for(2_000)
@@ -220,7 +220,7 @@
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool", cpu=1_000)
     harness.fleet.add("b", "pool", cpu=1_000)
-    harness.lead()
+    harness.start_leader()
     harness.submit(make_submission("s1", make_step(4)), 400)
     harness.run_for(100)
     harness.fleet.by_id["b"].cut = True
@@ -239,7 +239,7 @@
     predecessor does not name."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
-    harness.lead()
+    harness.start_leader()
     harness.run_for(200)
     harness.hand_over()
     harness.run_for(200)
@@ -247,7 +247,7 @@
     harness.run_for(300)
     harness.fleet.by_id["a"].cut = True
     harness.fleet.add("b", "pool")
-    harness.lead()
+    harness.start_leader()
     harness.run_for(8_000)
     assert harness.fleet.violations == []
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
@@ -259,12 +259,12 @@
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool", cpu=1_000)
     harness.fleet.add("b", "pool", cpu=1_000)
-    harness.lead()
+    harness.start_leader()
     harness.submit(make_submission("s1", make_step(2)), 1_000)
     harness.submit(make_submission("s2", make_step(1)), 200)
     harness.run_for(300)
     harness.fleet.by_id["b"].cut = True
-    harness.lead()
+    harness.start_leader()
     harness.run_for(1_500)
     assert harness.scheduler.state_of("s2") is SubmissionState.COMPLETED
     harness.run_for(6_000)
@@ -277,7 +277,7 @@
     that believed the records would start them a second time."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
-    harness.lead()
+    harness.start_leader()
     harness.run_for(200)
     harness.leader._may_continue = lambda: True
     harness.submit(make_submission("s1", make_step(2)), 2_500)
@@ -288,7 +288,7 @@
     harness.store.away = False
     harness.fleet.by_id["a"].cut = True
     harness.fleet.add("b", "pool")
-    harness.lead().scheduler.trusts_records = False
+    harness.start_leader().scheduler.trusts_records = False
     harness.run_for(9_000)
     assert harness.fleet.violations == []
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
@@ -299,7 +299,7 @@
     task again (TWICE on kayis-ortak trouble-2, once in two plays)."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
-    harness.lead()
+    harness.start_leader()
     harness.submit(make_submission("s1", make_step(2)), 300)
     harness.run_for(100)
     harness.leader._flush = lambda: None
@@ -319,7 +319,7 @@
     """A task on a lost executor waits for its lease although a copy is allowed."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
-    harness.lead()
+    harness.start_leader()
     harness.fleet.copies_allowed.add("s1")
     harness.submit(make_submission("s1", make_step(2, speculative=True)), 600)
     harness.run_for(200)
@@ -333,7 +333,7 @@
     """Tasks that stay for seconds on an executor that runs at a sixth of its speed."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("slow", "pool", cpu=8_000).slowness = 8
-    harness.lead()
+    harness.start_leader()
     for index in range(3):
         step = make_step(2, checkpointing=True)
         harness.submit(make_submission(f"s{index}", step), 1_000)
@@ -353,12 +353,12 @@
     there (TWICE on deploy/days/cut-and-roll.toml)."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool", cpu=1_000)
-    harness.lead()
+    harness.start_leader()
     harness.submit(make_submission("s1", make_step(1)), 9_000)
     harness.run_for(500)
     harness.fleet.by_id["a"].cut = True
     harness.fleet.add("b", "pool", cpu=1_000)
-    harness.lead()
+    harness.start_leader()
     harness.run_for(800)
     harness.hand_over()
     harness.run_for(700)
@@ -373,7 +373,7 @@
     account would say that nothing runs."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool", cpu=1_000)
-    harness.lead()
+    harness.start_leader()
     harness.submit(make_submission("s1", make_step(1)), 3_000)
     harness.run_for(500)
     harness.fleet.by_id["a"].cut = True
