--- a/src/cranberrywheel/submission/placement.py
+++ b/src/cranberrywheel/submission/placement.py
@@ -1,7 +1,7 @@
-"""Which executor a task goes to.
+"""Placement of tasks on executors.
 
-Load pattern: a pool in its turn is asked for more than it holds, while lasting tasks
-stay on it all day and planned work takes machines out of it.
+Load pattern: during a burst a pool gets more work than it can hold, while long-running
+tasks occupy it all day and maintenance takes machines out of it.
 """
 
 import typing as t
@@ -10,45 +10,56 @@
 from cranberrywheel.submission.live import StepRun, Task
 from cranberrywheel.submission.model import NO_RESOURCES, Resources
 
-#: Weight of a near data rack against free capacity (0 to 1).
+#: Added to the score of an executor on the rack of the task's data or of its step's
+#: other tasks; the fraction of free capacity adds 0 to 1.
 LOCALITY_BONUS = 2.0
-#: Weight against mixing tasks that serve with tasks that fill on one executor.
+#: Subtracted from the score of a background task for each latency-sensitive run on the
+#: executor, and the other way round.
 INTERFERENCE_PENALTY = 4.0
-#: Weight against an executor that failed or stalled runs lately.
+#: Subtracted for an executor that has recently failed or stalled runs.
 SUSPECT_PENALTY = 10.0
-#: Weight against a machine that has its upkeep or a move before it, for tasks that
-#: last.
+#: Subtracted for a machine that is due for maintenance or a move, for long-running
+#: tasks.
 LEAVING_PENALTY = 3.0
 
 
 class PoolCapacity:
-    """Usable executors of a pool with a bound on the free capacity of any one.
+    """Usable executors of a pool with an upper bound of the free capacity of any one.
 
-    While a queue has its turn, most waiting steps fit nowhere; the bound tells so
-    without a look at each executor.
+    During a burst most waiting steps fit nowhere; the bound shows that without
+    examining each executor.
+
+    :ivar usable: executors on which new runs may start.
     """
 
     def __init__(self, executors: t.Iterable[Executor]) -> None:
         self.usable = [executor for executor in executors if executor.is_usable]
-        self._largest = NO_RESOURCES
+        self._largest_free = NO_RESOURCES
         self.refresh()
 
     def refresh(self) -> None:
-        """Work the bound out again after a start."""
+        """Recompute the bound after free capacities have changed."""
         free = [executor.free for executor in self.usable]
-        self._largest = Resources(
-            max((room.cpu for room in free), default=-1),
-            max((room.memory_mb for room in free), default=-1),
-            max((room.gpu for room in free), default=-1),
+        self._largest_free = Resources(
+            max((amount.cpu for amount in free), default=-1),
+            max((amount.memory_mb for amount in free), default=-1),
+            max((amount.gpu for amount in free), default=-1),
         )
 
     def may_fit(self, claim: Resources) -> bool:
-        """Whether any executor may have room; false is certain."""
-        return claim.fits_in(self._largest)
+        """Tell whether an executor may have enough free capacity.
+
+        :returns: false if certainly none has; true may be wrong, since the bound
+            combines the amounts of different executors.
+        """
+        return claim.fits_in(self._largest_free)
 
 
 def meets_constraints(executor: Executor, task: Task, now_ms: int) -> bool:
-    """Tell whether a task may run on a usable executor, its room aside."""
+    """Tell whether a task may run on a usable executor, free capacity aside.
+
+    :param now_ms: steady time in milliseconds.
+    """
     step_run = task.step_run
     step = step_run.step
     if step.required_label and step.required_label not in executor.entry.labels:
@@ -63,7 +74,7 @@
 
 
 def can_start(executor: Executor, task: Task, now_ms: int) -> bool:
-    """Tell whether a task may start on an executor."""
+    """Tell whether a task may start on an executor now."""
     return (
         executor.is_usable
         and task.step_run.step.claim.fits_in(executor.free)
@@ -71,51 +82,54 @@
     )
 
 
-def score(
-    executor: Executor, task: Task, now_ms: int, leaving: t.Container[str]
+def compute_score(
+    executor: Executor, task: Task, now_ms: int, leaving_machines: t.Container[str]
 ) -> float:
-    """Rate an executor for a task; higher is better."""
+    """Compute how well an executor suits a task; higher is better.
+
+    :param leaving_machines: ids of machines due for maintenance or a move.
+    """
     step = task.step_run.step
     capacity = executor.entry.capacity
     free = executor.free
-    value = free.cpu / max(1, capacity.cpu)
+    rating = free.cpu / max(1, capacity.cpu)
     if step.long_running:
-        value = (
+        rating = (
             free.memory_mb / max(1, capacity.memory_mb)
             - executor.latency_sensitive_count * 0.3
         )
-        if executor.entry.machine in leaving:
-            value -= LEAVING_PENALTY
+        if executor.entry.machine in leaving_machines:
+            rating -= LEAVING_PENALTY
     if step.data_rack and step.data_rack == executor.entry.rack:
-        value += LOCALITY_BONUS
+        rating += LOCALITY_BONUS
     if step.colocate:
         racks = {run.rack for other in task.step_run.tasks for run in other.runs}
         if executor.entry.rack in racks:
-            value += LOCALITY_BONUS
+            rating += LOCALITY_BONUS
     if step.fills:
-        value -= INTERFERENCE_PENALTY * executor.latency_sensitive_count
+        rating -= INTERFERENCE_PENALTY * executor.latency_sensitive_count
     elif step.target_ms:
-        value -= INTERFERENCE_PENALTY * executor.background_count
+        rating -= INTERFERENCE_PENALTY * executor.background_count
     if executor.suspect_until_ms > now_ms:
-        value -= SUSPECT_PENALTY
-    return value
+        rating -= SUSPECT_PENALTY
+    return rating
 
 
 def choose_executor(
-    room: PoolCapacity,
+    pool_capacity: PoolCapacity,
     task: Task,
     now_ms: int,
-    leaving: t.Container[str],
+    leaving_machines: t.Container[str],
 ) -> Executor | None:
-    """Return the best executor for a task, or ``None``."""
+    """Return the executor with the highest score, or ``None`` if the task fits none."""
     claim = task.step_run.step.claim
     best: Executor | None = None
     best_score = 0.0
-    for executor in room.usable:
+    for executor in pool_capacity.usable:
         if claim.fits_in(executor.free) and meets_constraints(executor, task, now_ms):
-            value = score(executor, task, now_ms, leaving)
-            if best is None or value > best_score:
-                best, best_score = executor, value
+            rating = compute_score(executor, task, now_ms, leaving_machines)
+            if best is None or rating > best_score:
+                best, best_score = executor, rating
     return best
 
 
@@ -124,7 +138,8 @@
 ) -> list[Executor] | None:
     """Return an executor for each member of a gang, or ``None`` if not all fit.
 
-    Members that must be near each other go to the first rack that holds all.
+    The members of a colocated gang go to the first rack that can hold all of them,
+    or are spread over the racks if none can.
     """
     groups: list[list[Executor]] = [list(executors)]
     if step_run.step.colocate:
@@ -142,9 +157,15 @@
 def _assign_first_fit(
     executors: list[Executor], step_run: StepRun, now_ms: int
 ) -> list[Executor] | None:
+    """Assign each task of a step to the first executor with enough free capacity.
+
+    :returns: an executor for each task, or ``None`` if some task fits nowhere.
+    """
     step = step_run.step
     free = {executor.id: executor.free for executor in executors}
-    count = {x.id: x.count_by_step.get(step_run, 0) for x in executors}
+    count = {
+        executor.id: executor.count_by_step.get(step_run, 0) for executor in executors
+    }
     chosen: list[Executor] = []
     for task in step_run.tasks:
         for executor in executors:
--- a/src/cranberrywheel/submission/scheduling_pass.py
+++ b/src/cranberrywheel/submission/scheduling_pass.py
@@ -1,9 +1,9 @@
-"""Which waiting tasks start now: one pass over a service's waiting work.
+"""Scheduling pass, which starts the waiting tasks that can start now.
 
-Load pattern: a queue in its turn asks for more than its pool holds, so that a pass
-runs at each end of a task and finds hundreds of steps that fit nowhere. A pass
-handles only services of which something changed, and steps larger than the largest
-free room cost one comparison.
+Load pattern: during a burst a queue demands more than its pool holds, so that a pass
+runs at each completion of a task and finds hundreds of steps that fit nowhere. A pass
+covers only services of which something changed, and a step larger than any free
+capacity costs one comparison.
 """
 
 import typing as t
@@ -21,15 +21,19 @@
 from cranberrywheel.submission.queue_order import remaining_work, scheduling_key
 from cranberrywheel.submission.state import Advice, SchedulerState
 
-#: Numbers of runs that one leader may use for a task. Each leader begins above its
-#: predecessors', so that a number is never used twice.
+#: Run numbers that one leader may use for a task. Each leader begins above those of
+#: its predecessors, so that a number is never used twice.
 RUN_NUMBERS_PER_TERM = 1_000
 
 _log = PartLogger("scheduler")
 
 
 def start_waiting_tasks(state: SchedulerState, now_ms: int, unix_ms: int) -> None:
-    """Start what can start in the services that changed."""
+    """Decide the starts in all services that changed since the last pass.
+
+    :param now_ms: steady time in milliseconds.
+    :param unix_ms: time of day in Unix milliseconds.
+    """
     if not state.may_start or state.configuration is None:
         return
     services, state.dirty_services = state.dirty_services, set()
@@ -43,39 +47,44 @@
 ) -> None:
     state.quota_limited_services.discard(service)
     pool = list(state.executors_by_service.get(service, {}).values())
-    room = PoolCapacity(pool)
-    for _, step_run in _startable_steps(state, service, pool, room, now_ms, unix_ms):
-        _start_step(state, step_run, pool, room, now_ms, unix_ms)
+    pool_capacity = PoolCapacity(pool)
+    for _, step_run in _startable_steps(
+        state, service, pool, pool_capacity, now_ms, unix_ms
+    ):
+        _start_step(state, step_run, pool, pool_capacity, now_ms, unix_ms)
 
 
 def _startable_steps(
     state: SchedulerState,
     service: str,
     pool: t.Sequence[Executor],
-    room: PoolCapacity,
+    pool_capacity: PoolCapacity,
     now_ms: int,
     unix_ms: int,
 ) -> list[tuple[tuple[int, int, float], StepRun]]:
-    """Return the steps that may start and may find room, first ones first."""
+    """Return the steps that may start and may fit, with their sort keys, in order."""
     waiting = state.waiting_by_service[service]
-    unsettled = [
-        x for x in pool if not x.fence_confirmed and now_ms <= x.lease_expiry_ms
+    unpolled = [
+        executor
+        for executor in pool
+        if not executor.fence_confirmed and now_ms <= executor.lease_expiry_ms
     ]
-    unseen = any(x.reachable for x in unsettled)  # a first look is under way
+    # An executor whose first poll is not answered yet may report runs of any step.
+    awaiting_poll = any(executor.reachable for executor in unpolled)
     rows: list[tuple[tuple[int, int, float], StepRun]] = []
     for submission_id, live in list(waiting.items()):
         ready = live.ready_steps()
         if not ready and not live.has_waiting:
             del waiting[submission_id]
-        if live.recovered and unseen:
+        if live.recovered and awaiting_poll:
             continue
         startable = [
             step_run
             for step_run in ready
-            if _may_begin(state, step_run, unix_ms)
-            and room.may_fit(step_run.step.claim)
+            if _may_begin_step(state, step_run, unix_ms)
+            and pool_capacity.may_fit(step_run.step.claim)
             and not (
-                live.recovered and unsettled and _may_run_unpolled(state, step_run)
+                live.recovered and unpolled and _may_run_on_unpolled(state, step_run)
             )
         ]
         if startable:
@@ -86,12 +95,17 @@
     return rows
 
 
-def _may_run_unpolled(state: SchedulerState, step_run: StepRun) -> bool:
+def _may_run_on_unpolled(state: SchedulerState, step_run: StepRun) -> bool:
+    """Tell whether tasks of a step may run on executors that were never polled."""
     return step_run.may_have_begun or not state.trusts_records
 
 
-def _may_begin(state: SchedulerState, step_run: StepRun, unix_ms: int) -> bool:
-    """Whether a step is due and its first start would be known to a successor."""
+def _may_begin_step(state: SchedulerState, step_run: StepRun, unix_ms: int) -> bool:
+    """Tell whether a step is due and recorded as begun.
+
+    A step that is not recorded yet is marked for the record, so that a successor knows
+    that tasks of it may run. While the store is unreachable no record is needed.
+    """
     live = step_run.live
     if live.submission.schedule and live.due_ms(step_run.occurrence) > unix_ms:
         return False
@@ -107,73 +121,85 @@
     state: SchedulerState,
     step_run: StepRun,
     pool: t.Sequence[Executor],
-    room: PoolCapacity,
+    pool_capacity: PoolCapacity,
     now_ms: int,
     unix_ms: int,
 ) -> None:
+    """Start the waiting tasks of a step as far as capacity and quota allow."""
     live = step_run.live
     step = step_run.step
-    if not room.may_fit(step.claim):
+    if not pool_capacity.may_fit(step.claim):
         return
     tickets: dict[str, str] | None = None
     if live.queue.advised:
         tickets = _advised_tickets(state, step_run, pool, now_ms)
         pool = [executor for executor in pool if executor.id in tickets]
-        room = PoolCapacity(pool)
+        pool_capacity = PoolCapacity(pool)
     if step.gang:
-        _start_gang(state, step_run, room, tickets, now_ms, unix_ms)
-        room.refresh()
+        _start_gang(state, step_run, pool_capacity, tickets, now_ms, unix_ms)
+        pool_capacity.refresh()
         return
-    leaving = state.maintenance_due | state.borrowed_machines
+    leaving_machines = state.maintenance_due | state.borrowed_machines
     for task in list(step_run.waiting.values()):
-        if not room.may_fit(step.claim) or not _is_within_quota(state, live, step.size):
+        if not pool_capacity.may_fit(step.claim) or not _is_within_quota(
+            state, live, step.size
+        ):
             return
-        executor = choose_executor(room, task, now_ms, leaving)
+        executor = choose_executor(pool_capacity, task, now_ms, leaving_machines)
         if executor is None:
             if not task.avoid_until_ms_by_executor:
-                return  # the other tasks of the step are of the same size
+                return  # the other tasks of the step need the same capacity
             continue
         ticket = tickets[executor.id] if tickets else ""
-        _start(
-            state, task, _next_number(state, task), executor, ticket, now_ms, unix_ms
+        _start_run(
+            state,
+            task,
+            _next_run_number(state, task),
+            executor,
+            ticket,
+            now_ms,
+            unix_ms,
         )
-        room.refresh()
+        pool_capacity.refresh()
 
 
 def _start_gang(
     state: SchedulerState,
     step_run: StepRun,
-    room: PoolCapacity,
+    pool_capacity: PoolCapacity,
     tickets: dict[str, str] | None,
     now_ms: int,
     unix_ms: int,
 ) -> None:
+    """Start all members of a gang under one run number, or none."""
     step = step_run.step
     if len(step_run.waiting) < step.count:
         return
-    whole = Resources(
+    gang_size = Resources(
         step.size.cpu * step.count,
         step.size.memory_mb * step.count,
         step.size.gpu * step.count,
     )
-    if not _is_within_quota(state, step_run.live, whole):
+    if not _is_within_quota(state, step_run.live, gang_size):
         return
-    chosen = choose_gang_executors(room.usable, step_run, now_ms)
+    chosen = choose_gang_executors(pool_capacity.usable, step_run, now_ms)
     if chosen is None:
         return
-    number = max(_next_number(state, task) for task in step_run.tasks)
-    saved = next((task.checkpoint for task in step_run.tasks if task.checkpoint), "")
+    number = max(_next_run_number(state, task) for task in step_run.tasks)
+    checkpoint = next(
+        (task.checkpoint for task in step_run.tasks if task.checkpoint), ""
+    )
     for task, executor in zip(step_run.tasks, chosen, strict=True):
-        task.checkpoint = saved
+        task.checkpoint = checkpoint
         ticket = tickets[executor.id] if tickets else ""
-        _start(state, task, number, executor, ticket, now_ms, unix_ms)
+        _start_run(state, task, number, executor, ticket, now_ms, unix_ms)
 
 
-def _next_number(state: SchedulerState, task: Task) -> int:
+def _next_run_number(state: SchedulerState, task: Task) -> int:
     return max(task.last_run_number, state.term * RUN_NUMBERS_PER_TERM) + 1
 
 
-def _start(
+def _start_run(
     state: SchedulerState,
     task: Task,
     number: int,
@@ -182,6 +208,7 @@
     now_ms: int,
     unix_ms: int,
 ) -> None:
+    """Track a new run and add its start to the actions."""
     live = task.step_run.live
     task.last_run_number = number
     run = Run(task, number, executor.id, now_ms)
@@ -202,6 +229,10 @@
 def _is_within_quota(
     state: SchedulerState, live: LiveSubmission, size: Resources
 ) -> bool:
+    """Tell whether a submission's organisation may use further resources.
+
+    A service in which the quota is exhausted is noted as quota-limited.
+    """
     owner = live.submission.organisation
     if state.configuration is None or not owner:
         return True
@@ -210,14 +241,14 @@
         return True
     quota = organisation.quota
     total = state.used_by_organisation.get(owner, NO_RESOURCES) + size
-    within = (
+    within_quota = (
         (not quota.cpu or total.cpu <= quota.cpu)
         and (not quota.memory_mb or total.memory_mb <= quota.memory_mb)
         and (not quota.gpu or total.gpu <= quota.gpu)
     )
-    if not within:
+    if not within_quota:
         state.quota_limited_services.add(live.queue.service)
-    return within
+    return within_quota
 
 
 def _advised_tickets(
@@ -226,6 +257,10 @@
     pool: t.Sequence[Executor],
     now_ms: int,
 ) -> dict[str, str]:
+    """Return the advised executors of a step with their tickets.
+
+    Requests new advice if there is none, and returns nothing until it arrives.
+    """
     advice = state.advice_by_step.get(step_run.name)
     if advice is not None and (advice.pending or advice.until_ms > now_ms):
         return advice.tickets
