--- a/tests/leader_harness.py
+++ b/tests/leader_harness.py
@@ -114,7 +114,7 @@
         """Stop the leader, store its handover record and start a successor."""
         assert self.leader is not None
         self.leader.stop()
-        self.store.put(HANDOVER_KEY, self.leader.account())
+        self.store.put(HANDOVER_KEY, self.leader.handover_record())
         return self.start_leader()
 
     def start_leader(self) -> Leader:
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -279,7 +279,7 @@
     harness.fleet.add("a", "pool")
     harness.start_leader()
     harness.run_for(200)
-    harness.leader._may_continue = lambda: True
+    harness.leader._may_continue_without_store = lambda: True
     harness.submit(make_submission("s1", make_step(2)), 2_500)
     harness.run_for(20)
     harness.store.away = True
@@ -302,7 +302,7 @@
     harness.start_leader()
     harness.submit(make_submission("s1", make_step(2)), 300)
     harness.run_for(100)
-    harness.leader._flush = lambda: None
+    harness.leader._write_changes = lambda: None
     harness.run_for(400)
     assert len(harness.fleet.done_ms_by_task) == 2
     harness.fleet.by_id["a"].cut = True
