--- a/src/cranberrywheel/node/duties.py
+++ b/src/cranberrywheel/node/duties.py
@@ -16,8 +16,8 @@
 from cranberrywheel.submission.maintenance import (
     WaveState,
     choose_machines_to_drain,
+    choose_runs_to_move,
     may_begin_maintenance,
-    runs_to_move,
 )
 from cranberrywheel.submission.scheduler import Scheduler
 
@@ -154,7 +154,7 @@
                     for other in self._scheduler.executors_by_id.values()
                     if other.entry.service == executor.entry.service
                 ]
-                for run in runs_to_move(executor, pool, now_ms):
+                for run in choose_runs_to_move(executor, pool, now_ms):
                     self._scheduler.stop_run(run, now_ms, "planned upkeep")
             if machine_id not in state.orders_in_flight and may_begin_maintenance(
                 executor, since_ms, now_ms
--- a/src/cranberrywheel/node/pool_moves.py
+++ b/src/cranberrywheel/node/pool_moves.py
@@ -11,7 +11,7 @@
 from cranberrywheel.submission.demand import demand_by_service
 from cranberrywheel.submission.executor import Executor
 from cranberrywheel.submission.machines import Machine, MachineOrderVerdict
-from cranberrywheel.submission.maintenance import runs_to_move
+from cranberrywheel.submission.maintenance import choose_runs_to_move
 from cranberrywheel.submission.pool_sizing import (
     PoolSizingState,
     decide_moves,
@@ -77,7 +77,7 @@
         state = self._state
         for machine_id, sent_ms in list(self._sent_ms.items()):
             if now_ms - sent_ms > MOVE_TIMEOUT_MS:
-                state.moving.pop(machine_id, None)
+                state.destination_by_machine.pop(machine_id, None)
                 del self._sent_ms[machine_id]
         standby = {s.name for s in configuration.services_by_name.values() if s.standby}
 
@@ -96,7 +96,7 @@
         )
         self._store_homes()
         lent = {machine.id for machine in machines if is_borrowed(state, machine)}
-        self._scheduler.borrowed_machines = lent | set(state.moving)
+        self._scheduler.borrowed_machines = lent | set(state.destination_by_machine)
         for machine_id in decision.drain:
             self._empty(executors_by_machine.get(machine_id), now_ms)
         for machine_id, pool in decision.moves:
@@ -111,7 +111,7 @@
             for other in self._scheduler.executors_by_id.values()
             if other.entry.service == executor.entry.service
         ]
-        for run in runs_to_move(executor, pool, now_ms):
+        for run in choose_runs_to_move(executor, pool, now_ms):
             self._scheduler.stop_run(run, now_ms, "its machine moves")
 
     def _order(self, machine_id: str, pool: str, executor: Executor | None) -> None:
@@ -133,7 +133,7 @@
                         executor.id, self._loop.clock.now_ms()
                     )
             elif verdict is not MachineOrderVerdict.UNKNOWN:
-                self._state.moving.pop(machine_id, None)
+                self._state.destination_by_machine.pop(machine_id, None)
                 if executor is not None:
                     executor.cordoned = False
 
--- a/src/cranberrywheel/submission/fault_detection.py
+++ b/src/cranberrywheel/submission/fault_detection.py
@@ -1,32 +1,37 @@
-"""Executors that fail or stall what they start, while their health looks good."""
+"""Detection of executors that fail, slow down or stall runs but seem healthy."""
 
 from cranberrywheel.submission.duration_estimates import DurationEstimates
 from cranberrywheel.submission.executor import Executor
 from cranberrywheel.submission.live import Run
 
-#: Time in which an executor's count of troubles halves.
+#: Time in which the fault count of an executor halves.
 FAULT_HALF_LIFE_MS = 3_000
-#: Troubles from which other executors are preferred.
+#: Fault count from which other executors are preferred.
 SUSPECT_FAULT_COUNT = 2.5
-#: How long an executor stays out of favour; disturbances last five to eight seconds.
+#: How long other executors are preferred; disturbances last five to eight seconds.
 SUSPECT_MS = 5_000
-#: A run without progress for this long stands still. Progress is seen at each look,
-#: at least every 1.5 s.
+#: Time without progress after which a run counts as stalled. Progress is read with
+#: each poll, at least every 1.5 s.
 STALL_MS = 4_000
-#: A run may also take this multiple of its expected duration without any sign.
+#: Multiple of its expected duration that a run may take without progress, if that is
+#: longer than ``STALL_MS``.
 STALL_FACTOR = 2.0
-#: A run with less than this share of the expected progress counts as slow. Declared
-#: times are off by up to nine tenths, so one slow run says little; several at one
-#: executor do.
+#: Fraction of the expected progress below which a run counts as slow. Declared
+#: durations are wrong by up to nine tenths, so one slow run proves little, but several
+#: on one executor do.
 SLOW_PROGRESS_FRACTION = 0.35
-#: Progress is judged from this share of the expected duration on.
+#: Fraction of the expected duration after which progress is checked.
 PROGRESS_CHECK_FRACTION = 0.6
-#: Progress is not judged before this time; a start takes its share of it.
+#: Progress is not checked before this time, part of which the start takes.
 PROGRESS_CHECK_MIN_MS = 700
 
 
-def is_slow(run: Run, durations: DurationEstimates, now_ms: int) -> bool:
-    """Tell whether a run makes much less progress than expected."""
+def is_slow(run: Run, estimates: DurationEstimates, now_ms: int) -> bool:
+    """Tell whether a run makes much less progress than expected.
+
+    Throttled, long-running and gang tasks and those without a declared duration are
+    never slow.
+    """
     step = run.task.step_run.step
     if (
         step.long_running
@@ -35,7 +40,7 @@
         or not step.estimated_ms
     ):
         return False
-    expected_ms = step.estimated_ms * durations.factor(run.task.step_run.live)
+    expected_ms = step.estimated_ms * estimates.factor(run.task.step_run.live)
     elapsed_ms = now_ms - run.started_ms
     if elapsed_ms < max(PROGRESS_CHECK_MIN_MS, PROGRESS_CHECK_FRACTION * expected_ms):
         return False
@@ -45,7 +50,11 @@
 
 
 def record_fault(executor: Executor, now_ms: int) -> None:
-    """Count a failed, refused or stalled run against its executor."""
+    """Count a failed, refused, slow or stalled run as a fault of its executor.
+
+    The count decays with :data:`FAULT_HALF_LIFE_MS`; from :data:`SUSPECT_FAULT_COUNT`
+    on, the executor is suspect for a time.
+    """
     decay = 0.5 ** ((now_ms - executor.fault_counted_ms) / FAULT_HALF_LIFE_MS)
     executor.fault_count = executor.fault_count * decay + 1
     executor.fault_counted_ms = now_ms
@@ -54,15 +63,15 @@
 
 
 def is_stalled(
-    run: Run, executor: Executor, durations: DurationEstimates, now_ms: int
+    run: Run, executor: Executor, estimates: DurationEstimates, now_ms: int
 ) -> bool:
-    """Tell whether a run stands still."""
+    """Tell whether a run has made no progress for too long."""
     if not executor.reachable or run.speed_percent < 100:
         return False
     step = run.task.step_run.step
     if step.long_running or step.gang:
         return False
-    expected_ms = step.estimated_ms * durations.factor(run.task.step_run.live)
-    # Slow executors report each percent; silence is counted in percents.
-    patience_ms = max(STALL_MS, STALL_FACTOR * expected_ms)
-    return now_ms - run.last_progress_ms > patience_ms
+    expected_ms = step.estimated_ms * estimates.factor(run.task.step_run.live)
+    # Even a slow executor reports each percent, so any progress restarts the timeout.
+    timeout_ms = max(STALL_MS, STALL_FACTOR * expected_ms)
+    return now_ms - run.last_progress_ms > timeout_ms
--- a/src/cranberrywheel/submission/maintenance.py
+++ b/src/cranberrywheel/submission/maintenance.py
@@ -1,7 +1,7 @@
-"""Order of upkeep: machines of a wave leave one after the other, emptied first.
+"""Maintenance of a wave's machines: which are drained next, and when each may begin.
 
-Load pattern: a wave takes up to half of the machines of a pool while its queue has
-its turn and lasting tasks may miss only one of their number.
+Load pattern: a wave covers up to half of the machines of a pool, also while its queue
+has a burst, and a long-running step may miss only one of its tasks.
 """
 
 import dataclasses
@@ -13,34 +13,39 @@
 from cranberrywheel.submission.machines import Machine, Wave
 from cranberrywheel.submission.placement import can_start
 
-#: Expected time from the choice of a machine to its return, besides its upkeep.
+#: Expected time from the choice of a machine to its return, besides its maintenance.
 DRAIN_ESTIMATE_MS = 3_000
-#: Runs still there after this long are cut by the upkeep; longer than most tasks.
+#: Drain time after which maintenance begins although short tasks still run; longer
+#: than most tasks.
 MAX_DRAIN_MS = 6_000
-#: A machine that is missing from the list for this long has left for good; one that
-#: moves or is down stays in it.
+#: A machine that is missing from the platform's list for this long has been removed;
+#: one that moves or is down stays listed.
 REMOVED_AFTER_MS = 4_000
-#: Part of the wave's time that the plan uses, so that delays do not make it late.
+#: Fraction of the wave's time that is planned with, so that delays do not make it late.
 PLANNED_FRACTION = 0.8
 
-#: Pressure from which a pool counts as busy with its queue's turn.
+#: Pressure from which a pool counts as busy, since its queue has a burst.
 BUSY_PRESSURE = 0.35
-#: Machines that a pool at rest gives at once; a quarter to a third of today's pools.
+#: Machines of an idle pool that may be unavailable at once: a quarter to a third of the
+#: usual pools.
 IDLE_POOL_CONCURRENCY = 2
-#: A busy pool gives machines if fewer rounds than this share of its machines is left.
+#: Machines of a busy pool are taken once the number of remaining maintenance rounds is
+#: below this multiple of the number of its remaining machines.
 URGENT_ROUNDS_PER_MACHINE = 0.6
 
 
 @dataclasses.dataclass
 class WaveState:
-    """Progress of a wave.
-
-    :ivar done: machines whose upkeep has begun.
-    :ivar emptying_since_ms: machines that take no new work, and since when.
-    :ivar ordered: machines whose order is under way.
-    :ivar missing_since_ms: machines that are not in the list, and since when.
-    :ivar reported: status that the operators were told last.
-    :ivar logged_waiting: machines named in the last log line, with their state.
+    """Progress of a wave. Times are steady milliseconds.
+
+    :ivar received_ms: when the leader read the wave.
+    :ivar begun: machines whose maintenance has begun.
+    :ivar draining_since_ms: machines that accept no new runs, and since when.
+    :ivar orders_in_flight: machines with an order that is not settled.
+    :ivar missing_since_ms: machines missing from the platform's list, and since when.
+    :ivar completed: the wave needs nothing more.
+    :ivar reported_status: status that was last stored for the operators.
+    :ivar logged_waiting: machines that the last log line named, with their state.
     """
 
     wave: Wave
@@ -54,7 +59,10 @@
     logged_waiting: dict[str, str] = dataclasses.field(default_factory=dict)
 
     def update_presence(self, machines: t.Container[str], now_ms: int) -> None:
-        """Note which machines are in the list; one that has left needs no upkeep."""
+        """Record which machines of the wave the platform lists.
+
+        A machine that has been removed needs no maintenance.
+        """
         for machine in self.wave.machines:
             if machine in machines:
                 self.missing_since_ms.pop(machine, None)
@@ -62,32 +70,37 @@
                 self.missing_since_ms.setdefault(machine, now_ms)
 
     def is_finished(self, now_ms: int) -> bool:
-        """Whether the upkeep of every machine that stays has begun."""
+        """Tell whether maintenance has begun on every machine that was not removed."""
         return all(
             now_ms - self.missing_since_ms.get(machine, now_ms) >= REMOVED_AFTER_MS
             for machine in self.remaining()
         )
 
     def remaining(self) -> list[str]:
-        """Machines whose upkeep has not begun."""
+        """Return the machines whose maintenance has not begun."""
         return [machine for machine in self.wave.machines if machine not in self.begun]
 
 
 def _concurrency_limit(
     state: WaveState, pool_count: int, maintenance_ms: int, pressure: float, now_ms: int
 ) -> int:
-    """Return how many machines of one pool may be away at once.
+    """Return how many machines of one pool may be unavailable at once.
+
+    The even limit spreads the machines over the remaining rounds. An idle pool may
+    exceed it, so that few machines remain for its queue's next burst; a busy pool
+    provides machines only when time runs short.
 
-    A pool at rest gives more machines than the even pace, so that it has few left to
-    give when its queue has its turn; a busy one gives them only when time runs out.
+    :param pool_count: machines of the pool that remain or are unavailable.
+    :param maintenance_ms: duration of the maintenance of one machine.
+    :param pressure: see :func:`choose_machines_to_drain`.
     """
     end_ms = state.received_ms + state.wave.duration_ms * PLANNED_FRACTION
     rounds = max(0.0, (end_ms - now_ms) / (maintenance_ms + DRAIN_ESTIMATE_MS))
-    even = math.ceil(pool_count / max(1.0, rounds))
+    even_limit = math.ceil(pool_count / max(1.0, rounds))
     if pressure < BUSY_PRESSURE:
-        return max(IDLE_POOL_CONCURRENCY, even)
+        return max(IDLE_POOL_CONCURRENCY, even_limit)
     if rounds < pool_count * URGENT_ROUNDS_PER_MACHINE:
-        return even
+        return even_limit
     return 0
 
 
@@ -99,67 +112,80 @@
     maintenance_ms: int,
     now_ms: int,
 ) -> list[str]:
-    """Return machines that should be emptied next.
+    """Return the machines that should be drained next, from the idlest pool on.
 
-    :param pressure_by_pool: cpu that short work uses and waits for, as a share of
+    :param pressure_by_pool: cpu that short work uses and waits for, as a fraction of
         the pool's capacity.
+    :param maintenance_ms: duration of the maintenance of one machine.
     """
     down = sum(
         machine in machines_by_id and not machines_by_id[machine].is_up
         for machine in state.begun
     )
-    room = state.wave.max_concurrent - down - len(state.draining_since_ms)
-    left_by_pool: dict[str, list[str]] = {}
-    away_by_pool: dict[str, int] = {}
+    free_slots = state.wave.max_concurrent - down - len(state.draining_since_ms)
+    remaining_by_pool: dict[str, list[str]] = {}
+    unavailable_by_pool: dict[str, int] = {}
     for machine_id in state.wave.machines:
         machine = machines_by_id.get(machine_id)
         if machine is None:
             continue
         if machine_id in state.draining_since_ms or not machine.is_up:
-            away_by_pool[machine.pool] = away_by_pool.get(machine.pool, 0) + 1
+            unavailable_by_pool[machine.pool] = (
+                unavailable_by_pool.get(machine.pool, 0) + 1
+            )
         elif machine_id not in state.begun:
-            left_by_pool.setdefault(machine.pool, []).append(machine_id)
+            remaining_by_pool.setdefault(machine.pool, []).append(machine_id)
     chosen: list[str] = []
 
-    def load(machine_id: str) -> int:
+    def used_cpu(machine_id: str) -> int:
         executor = executors_by_machine.get(machine_id)
         return executor.used.cpu if executor else 0
 
-    for pool in sorted(left_by_pool, key=lambda p: pressure_by_pool.get(p, 0.0)):
-        left = left_by_pool[pool]
-        away = away_by_pool.get(pool, 0)
+    for pool in sorted(remaining_by_pool, key=lambda p: pressure_by_pool.get(p, 0.0)):
+        remaining = remaining_by_pool[pool]
+        unavailable = unavailable_by_pool.get(pool, 0)
         pressure = pressure_by_pool.get(pool, 0.0)
         limit = _concurrency_limit(
-            state, len(left) + away, maintenance_ms, pressure, now_ms
+            state, len(remaining) + unavailable, maintenance_ms, pressure, now_ms
         )
-        for machine_id in sorted(left, key=load)[: max(0, limit - away)]:
-            if len(chosen) < room:
+        for machine_id in sorted(remaining, key=used_cpu)[
+            : max(0, limit - unavailable)
+        ]:
+            if len(chosen) < free_slots:
                 chosen.append(machine_id)
     return chosen
 
 
 def may_interrupt(run: Run) -> bool:
-    """Tell whether planned work may end a lasting task's run now."""
+    """Tell whether maintenance may stop a run of a long-running task now."""
     step_run = run.task.step_run
     if run.state is not RunState.RUNNING or run.task.available_since_ms == 0:
         return False
-    return count_unavailable(step_run, run) < max(1, step_run.step.may_miss)
+    return count_other_unavailable(step_run, run) < max(1, step_run.step.may_miss)
+
 
+def count_other_unavailable(step_run: StepRun, excluded_run: Run) -> int:
+    """Count the tasks of a long-running step that are not available.
 
-def count_unavailable(step_run: StepRun, besides: Run) -> int:
-    """Count the other tasks of a lasting step that are not at work."""
+    :param excluded_run: run whose task is not counted.
+    """
     return sum(
         task.available_since_ms == 0
         or any(run.state is RunState.STOPPING for run in task.runs)
         for task in step_run.tasks
-        if task is not besides.task
+        if task is not excluded_run.task
     )
 
 
-def runs_to_move(
+def choose_runs_to_move(
     executor: Executor, pool: t.Sequence[Executor], now_ms: int
 ) -> list[Run]:
-    """Return lasting runs that may leave an executor now and have a place to go."""
+    """Return long-running runs that may be stopped now and can start elsewhere.
+
+    At most one run of each step is chosen.
+
+    :param pool: executors on which the tasks may start instead.
+    """
     chosen: list[Run] = []
     steps: set[int] = set()
     for run in executor.runs.values():
@@ -180,7 +206,11 @@
 def may_begin_maintenance(
     executor: Executor | None, since_ms: int, now_ms: int
 ) -> bool:
-    """Tell whether an upkeep may begin."""
+    """Tell whether a machine is drained enough for its maintenance.
+
+    :param executor: executor on the machine, or ``None`` for none.
+    :param since_ms: steady time at which the drain began.
+    """
     if executor is None or not executor.runs:
         return True
     if now_ms - since_ms < MAX_DRAIN_MS:
--- a/src/cranberrywheel/submission/pool_sizing.py
+++ b/src/cranberrywheel/submission/pool_sizing.py
@@ -1,9 +1,10 @@
-"""Which machines move between pools.
+"""Sizing of pools: which machines move from one pool to another.
 
-Load pattern: each queue in turn asks for more than its pool holds, for a few seconds,
-and for a twentieth in between. Machines of the standby pool join the pool whose queue
-has its turn, and go back when it is over. A pool at rest keeps what a lost rack or
-zone and an upkeep may take, and switches the rest off until its next turn.
+Load pattern: each queue in turn has a burst, in which it demands more than its pool
+holds for a few seconds; in between it demands a twentieth of that. Machines of the
+standby pool join a pool for its queue's burst and return afterwards. An idle pool keeps
+enough machines to survive the loss of a rack or availability zone during maintenance,
+and switches the others off until its next burst.
 """
 
 import dataclasses
@@ -12,27 +13,27 @@
 
 from cranberrywheel.submission.machines import Machine, MachineState
 
-#: Waiting cpu, as a share of a pool's capacity, from which machines are lent.
+#: Waiting cpu, as a fraction of a pool's capacity, from which it borrows machines.
 BORROW_THRESHOLD = 0.25
-#: Machines lent for each machine's worth of waiting cpu. Part of the backlog is gone
-#: by the time that they are up; lending for all of it cost 40 more moves a day and
-#: served no more.
+#: Machines borrowed for each machine's worth of waiting cpu. Part of the backlog is
+#: gone by the time that they are up; borrowing for all of it costs 40 more moves a day
+#: without serving more.
 BORROW_RATIO = 2 / 3
-#: Pressure under which a pool gives lent machines back.
+#: Pressure below which a pool returns borrowed machines.
 RETURN_PRESSURE = 0.45
-#: How long the pressure has to stay low; a turn has short gaps.
+#: How long the pressure must stay low first, since a burst has short gaps.
 RETURN_DELAY_MS = 800
-#: Pressure under which a pool is at rest, and how long it has to stay there.
+#: Pressure below which a pool is idle, and how long the pressure must stay low first.
 IDLE_PRESSURE = 0.25
 IDLE_DELAY_MS = 1_500
-#: Share of its machines that a pool at rest keeps on.
+#: Fraction of its machines that an idle pool keeps switched on.
 IDLE_KEEP_FRACTION = 0.75
-#: Pressure from which a pool has its own machines back.
+#: Pressure from which a pool gets its own machines back.
 RESTORE_PRESSURE = 0.3
-#: Pressure from which a queue has its turn, for the rhythm.
+#: Pressure at which a burst counts as begun when its period is learned.
 BURST_PRESSURE = 0.6
-#: A pool gets its machines back this long before its next expected turn, and waits
-#: for it this long.
+#: A pool gets its machines back this long before the expected start of its next burst,
+#: and keeps them this long if the burst does not come.
 BURST_LEAD_MS = 2_500
 BURST_GRACE_MS = 1_500
 
@@ -41,10 +42,10 @@
 class PoolDemand:
     """Demand of a pool for short work, in thousandths of a core.
 
-    :param used: cpu of short runs.
-    :param waiting: cpu of tasks that could run now.
+    :param used: cpu that runs of short tasks reserve.
+    :param waiting: cpu that ready tasks without a run will reserve.
     :param capacity: cpu of the usable executors.
-    :param machine_cpu: cpu of one machine.
+    :param machine_cpu: cpu of the pool's largest machine.
     """
 
     used: int = 0
@@ -54,38 +55,43 @@
 
     @property
     def pressure(self) -> float:
-        """Used and waiting cpu as a share of the capacity."""
+        """Used and waiting cpu as a fraction of the capacity; above 1 in a burst."""
         return (self.used + self.waiting) / max(1, self.capacity)
 
 
 @dataclasses.dataclass
 class PoolSizingState:
-    """What the decision remembers between two looks at the machines.
-
-    :ivar home_by_machine: pool in which each machine was first seen.
-    :ivar calm_since_ms: since when a pool's pressure is low.
-    :ivar returning: lent machines that take no new work.
-    :ivar moving: machines on their way, with their new pool.
-    :ivar turns_ms: when the last turns of each pool's queue began.
+    """State that is kept from one decision to the next. Times are steady milliseconds.
+
+    :ivar home_pool_by_machine: pool to which each machine belongs: that in which it was
+        first listed.
+    :ivar low_pressure_since_ms: since when the pressure of a pool is low.
+    :ivar returning: borrowed machines that are drained for their return.
+    :ivar destination_by_machine: new pool of each machine that is moving.
+    :ivar burst_starts_ms: when the last two bursts of each pool began.
     """
 
     home_pool_by_machine: dict[str, str] = dataclasses.field(default_factory=dict)
     low_pressure_since_ms: dict[str, int] = dataclasses.field(default_factory=dict)
     returning: set[str] = dataclasses.field(default_factory=set)
-    moving: dict[str, str] = dataclasses.field(default_factory=dict)
+    destination_by_machine: dict[str, str] = dataclasses.field(default_factory=dict)
     burst_starts_ms: dict[str, list[int]] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolDecision:
-    """Moves that are due, and machines that should be emptied for one."""
+    """Decided moves.
+
+    :param moves: machines to move now, each with its new pool.
+    :param drain: machines to drain for a later move.
+    """
 
     moves: tuple[tuple[str, str], ...]
     drain: tuple[str, ...]
 
 
 def is_borrowed(state: PoolSizingState, machine: Machine) -> bool:
-    """Whether a machine is in another pool than its own."""
+    """Tell whether a machine is in another pool than its home pool."""
     return state.home_pool_by_machine.get(machine.id, machine.pool) != machine.pool
 
 
@@ -98,64 +104,83 @@
     is_empty: t.Callable[[Machine], bool],
     now_ms: int,
 ) -> PoolDecision:
-    """Decide which machines move.
+    """Decide which machines move, and record the moves as under way.
 
-    :param reserved: machines of a wave that is not finished with them.
-    :param is_empty: whether nothing runs on a machine.
+    :param standby_pools: names of the pools whose machines are switched off.
+    :param reserved: machines that a maintenance wave still needs where they are.
+    :param is_empty: tells whether nothing runs on a machine.
+    :param now_ms: steady time in milliseconds.
     """
     for machine in machines:
         state.home_pool_by_machine.setdefault(machine.id, machine.pool)
-        if state.moving.get(machine.id) == machine.pool and machine.is_up:
-            state.moving.pop(machine.id)
+        if (
+            state.destination_by_machine.get(machine.id) == machine.pool
+            and machine.is_up
+        ):
+            state.destination_by_machine.pop(machine.id)
     for pool, demand in demand_by_pool.items():
         _record_pressure(state, pool, demand.pressure, now_ms)
-    needs = _missing_machines(state, machines, demand_by_pool, standby_pools, now_ms)
-    surplus = _surplus_machines(
-        state, machines, demand_by_pool, standby_pools, needs, now_ms
+    missing_by_pool = _count_missing_machines(
+        state, machines, demand_by_pool, standby_pools, now_ms
     )
-    standby = next((m.pool for m in machines if m.pool in standby_pools), None)
+    surplus_by_pool = _count_surplus_machines(
+        state, machines, demand_by_pool, standby_pools, missing_by_pool, now_ms
+    )
+    standby_pool = next((m.pool for m in machines if m.pool in standby_pools), None)
     moves: list[tuple[str, str]] = []
 
-    def send(machine: Machine, pool: str) -> None:
+    def order_move(machine: Machine, pool: str) -> None:
         moves.append((machine.id, pool))
-        state.moving[machine.id] = pool
+        state.destination_by_machine[machine.id] = pool
         state.returning.discard(machine.id)
-        if pool in needs:
-            needs[pool] -= 1
-            if needs[pool] <= 0:
-                del needs[pool]
-
-    def neediest() -> str | None:
-        return max(needs, key=lambda pool: needs[pool]) if needs else None
+        if pool in missing_by_pool:
+            missing_by_pool[pool] -= 1
+            if missing_by_pool[pool] <= 0:
+                del missing_by_pool[pool]
+
+    def pool_missing_most() -> str | None:
+        return (
+            max(missing_by_pool, key=lambda pool: missing_by_pool[pool])
+            if missing_by_pool
+            else None
+        )
 
     for machine in machines:
-        if machine.id in state.moving or machine.id in reserved:
+        if machine.id in state.destination_by_machine or machine.id in reserved:
             continue
-        target = neediest()
+        destination = pool_missing_most()
         if machine.pool in standby_pools:
-            home = state.home_pool_by_machine[machine.id]
-            target = home if home in needs else target
-            if target is not None:
-                send(machine, target)
+            home_pool = state.home_pool_by_machine[machine.id]
+            destination = home_pool if home_pool in missing_by_pool else destination
+            if destination is not None:
+                order_move(machine, destination)
         elif not is_borrowed(state, machine):
-            if surplus.get(machine.pool, 0) > 0 and machine.is_up and is_empty(machine):
-                if target is not None or standby is not None:
-                    surplus[machine.pool] -= 1
-                    send(machine, target or t.cast(str, standby))
+            if (
+                surplus_by_pool.get(machine.pool, 0) > 0
+                and machine.is_up
+                and is_empty(machine)
+            ):
+                if destination is not None or standby_pool is not None:
+                    surplus_by_pool[machine.pool] -= 1
+                    order_move(machine, destination or t.cast(str, standby_pool))
         elif is_borrowed(state, machine) and machine.is_up:
-            calm_ms = now_ms - state.low_pressure_since_ms.get(machine.pool, now_ms)
-            if machine.id not in state.returning and calm_ms >= RETURN_DELAY_MS:
+            low_pressure_ms = now_ms - state.low_pressure_since_ms.get(
+                machine.pool, now_ms
+            )
+            if machine.id not in state.returning and low_pressure_ms >= RETURN_DELAY_MS:
                 state.returning.add(machine.id)
             if machine.id in state.returning and is_empty(machine):
-                send(machine, target or state.home_pool_by_machine[machine.id])
+                order_move(
+                    machine, destination or state.home_pool_by_machine[machine.id]
+                )
     return PoolDecision(tuple(moves), tuple(sorted(state.returning)))
 
 
 def _record_pressure(
     state: PoolSizingState, pool: str, pressure: float, now_ms: int
 ) -> None:
-    calm_ms = now_ms - state.low_pressure_since_ms.get(pool, now_ms)
-    if pressure >= BURST_PRESSURE and calm_ms >= RETURN_DELAY_MS:
+    low_pressure_ms = now_ms - state.low_pressure_since_ms.get(pool, now_ms)
+    if pressure >= BURST_PRESSURE and low_pressure_ms >= RETURN_DELAY_MS:
         state.burst_starts_ms[pool] = [
             *state.burst_starts_ms.get(pool, [])[-1:],
             now_ms,
@@ -167,75 +192,80 @@
 
 
 def expects_burst(state: PoolSizingState, pool: str, now_ms: int) -> bool:
-    """Whether a pool's queue is about to have its turn, after the learned rhythm."""
-    turns = state.burst_starts_ms.get(pool, [])
-    if len(turns) < 2:
+    """Tell whether a burst of a pool is due, if the last interval repeats."""
+    starts_ms = state.burst_starts_ms.get(pool, [])
+    if len(starts_ms) < 2:
         return False
-    next_ms = turns[-1] + (turns[-1] - turns[-2])
+    next_ms = starts_ms[-1] + (starts_ms[-1] - starts_ms[-2])
     return next_ms - BURST_LEAD_MS <= now_ms <= next_ms + BURST_GRACE_MS
 
 
-def _present(state: PoolSizingState, machines: t.Sequence[Machine], pool: str) -> int:
-    """Count the machines of a pool that are on, or back within seconds."""
+def _count_present(
+    state: PoolSizingState, machines: t.Sequence[Machine], pool: str
+) -> int:
+    """Count the machines of a pool that are up, moving to it or back within seconds."""
     return sum(
-        target == pool
-        if (target := state.moving.get(machine.id))
+        destination == pool
+        if (destination := state.destination_by_machine.get(machine.id))
         else machine.pool == pool and machine.state is not MachineState.DOWN
         for machine in machines
     )
 
 
-def _home_count(state: PoolSizingState, pool: str) -> int:
-    return sum(home == pool for home in state.home_pool_by_machine.values())
+def _count_home_machines(state: PoolSizingState, pool: str) -> int:
+    return sum(home_pool == pool for home_pool in state.home_pool_by_machine.values())
 
 
-def _missing_machines(
+def _count_missing_machines(
     state: PoolSizingState,
     machines: t.Sequence[Machine],
     demand_by_pool: t.Mapping[str, PoolDemand],
     standby_pools: t.Container[str],
     now_ms: int,
 ) -> dict[str, int]:
-    """Return how many machines each pool lacks."""
-    needs: dict[str, int] = {}
+    """Return how many machines each pool is missing; no entry means none."""
+    missing_by_pool: dict[str, int] = {}
     for pool, demand in demand_by_pool.items():
         if pool in standby_pools or not demand.machine_cpu:
             continue
-        present = _present(state, machines, pool)
-        home = _home_count(state, pool)
-        lacking = math.ceil(IDLE_KEEP_FRACTION * home) - present
+        present_count = _count_present(state, machines, pool)
+        home_count = _count_home_machines(state, pool)
+        missing_count = math.ceil(IDLE_KEEP_FRACTION * home_count) - present_count
         if demand.pressure >= RESTORE_PRESSURE or expects_burst(state, pool, now_ms):
-            lacking = home - present
+            missing_count = home_count - present_count
         if demand.waiting >= BORROW_THRESHOLD * demand.capacity:
-            coming = sum(target == pool for target in state.moving.values())
-            wanted = math.ceil(BORROW_RATIO * demand.waiting / demand.machine_cpu)
-            wanted -= coming
-            lacking = max(lacking, wanted)
-        if lacking > 0:
-            needs[pool] = lacking
-    return needs
-
-
-def _surplus_machines(
+            moving_count = sum(
+                destination == pool
+                for destination in state.destination_by_machine.values()
+            )
+            borrow_count = math.ceil(BORROW_RATIO * demand.waiting / demand.machine_cpu)
+            borrow_count -= moving_count
+            missing_count = max(missing_count, borrow_count)
+        if missing_count > 0:
+            missing_by_pool[pool] = missing_count
+    return missing_by_pool
+
+
+def _count_surplus_machines(
     state: PoolSizingState,
     machines: t.Sequence[Machine],
     demand_by_pool: t.Mapping[str, PoolDemand],
     standby_pools: t.Container[str],
-    needs: t.Mapping[str, int],
+    missing_by_pool: t.Mapping[str, int],
     now_ms: int,
 ) -> dict[str, int]:
-    """Return how many machines each pool at rest can switch off."""
-    surplus: dict[str, int] = {}
+    """Return how many machines each idle pool can switch off or pass on."""
+    surplus_by_pool: dict[str, int] = {}
     for pool, demand in demand_by_pool.items():
-        calm_ms = now_ms - state.low_pressure_since_ms.get(pool, now_ms)
+        low_pressure_ms = now_ms - state.low_pressure_since_ms.get(pool, now_ms)
         if (
             pool in standby_pools
-            or pool in needs
+            or pool in missing_by_pool
             or demand.pressure >= IDLE_PRESSURE
-            or calm_ms < IDLE_DELAY_MS
+            or low_pressure_ms < IDLE_DELAY_MS
             or expects_burst(state, pool, now_ms)
         ):
             continue
-        keep = math.ceil(IDLE_KEEP_FRACTION * _home_count(state, pool))
-        surplus[pool] = _present(state, machines, pool) - keep
-    return surplus
+        keep_count = math.ceil(IDLE_KEEP_FRACTION * _count_home_machines(state, pool))
+        surplus_by_pool[pool] = _count_present(state, machines, pool) - keep_count
+    return surplus_by_pool
--- a/src/cranberrywheel/submission/record.py
+++ b/src/cranberrywheel/submission/record.py
@@ -1,4 +1,8 @@
-"""Records of submissions as the store keeps them."""
+"""Encoding of the submission records in the store.
+
+A submission has a record of its own and one of its progress, which a final record
+replaces when it ends.
+"""
 
 import dataclasses
 import json
@@ -13,7 +17,7 @@
 )
 
 
-def _compact(value: t.Any) -> bytes:
+def _encode_compact_json(value: t.Any) -> bytes:
     return json.dumps(value, separators=(",", ":")).encode()
 
 
@@ -29,7 +33,7 @@
 
 
 def encode_submission(submission: Submission) -> bytes:
-    """Encode a submission."""
+    """Encode a submission record; steps omit fields that are empty or false."""
     row: dict[str, t.Any] = {
         "id": submission.id,
         "queue": submission.queue,
@@ -41,13 +45,13 @@
     }
     if submission.schedule:
         row["schedule"] = dataclasses.astuple(submission.schedule)
-    return _compact(row)
+    return _encode_compact_json(row)
 
 
 def decode_submission(value: bytes) -> Submission:
-    """Decode a submission.
+    """Decode a submission record.
 
-    :raises ValueError: if the record is not one of this format.
+    :raises ValueError: if the value is not a record of this format.
     """
     try:
         row = json.loads(value)
@@ -63,18 +67,20 @@
             **row,
         )
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"no submission record: {error!r}") from None
+        raise ValueError(f"invalid submission record: {error!r}") from None
 
 
 @dataclasses.dataclass
 class Progress:
-    """What must outlast the leader: ends that were acknowledged at executors.
-
-    :param done_by_step: finished task numbers by ``OCCURRENCE.STEP``.
-    :param failed_runs_by_task: numbers of failed runs by ``OCCURRENCE.STEP.INDEX``.
-    :param checkpoint_by_task: last saved progress by ``OCCURRENCE.STEP.INDEX``.
-    :param begun_steps: ``OCCURRENCE.STEP`` of which a task may have started; written
-        before the first start, so that a new leader knows what cannot run unseen.
+    """Progress that must survive the leader, since executors forget completions once
+    they are acknowledged. The record uses the field names.
+
+    :param done_by_step: indices of finished tasks, by ``OCCURRENCE.STEP``.
+    :param failed_runs_by_task: numbers of failed runs, by ``OCCURRENCE.STEP.INDEX``.
+    :param checkpoint_by_task: last checkpoint, by ``OCCURRENCE.STEP.INDEX``.
+    :param begun_steps: ``OCCURRENCE.STEP`` of each step that may have started tasks;
+        stored before the first start, so that a new leader knows which steps cannot
+        have runs that it has not seen.
     """
 
     done_by_step: dict[str, list[int]] = dataclasses.field(default_factory=dict)
@@ -85,31 +91,31 @@
 
 def encode_progress(progress: Progress) -> bytes:
     """Encode a progress record."""
-    return _compact(vars(progress))
+    return _encode_compact_json(vars(progress))
 
 
 def decode_progress(value: bytes) -> Progress:
     """Decode a progress record.
 
-    :raises ValueError: if the record is not one of this format.
+    :raises ValueError: if the value is not a record of this format.
     """
     try:
         return Progress(**json.loads(value))
     except TypeError as error:
-        raise ValueError(f"no progress record: {error!r}") from None
+        raise ValueError(f"invalid progress record: {error!r}") from None
 
 
 def encode_final_state(state: SubmissionState, queue: str) -> bytes:
-    """Encode what stays of a submission that has ended."""
-    return _compact({"state": state.value, "queue": queue})
+    """Encode the final record, which remains of a submission that has ended."""
+    return _encode_compact_json({"state": state.value, "queue": queue})
 
 
 def decode_final_state(value: bytes) -> SubmissionState:
-    """Decode the state of a submission that has ended.
+    """Decode the state in a final record.
 
-    :raises ValueError: if the record is not one of this format.
+    :raises ValueError: if the value is not a record of this format.
     """
     try:
         return SubmissionState(json.loads(value)["state"])
     except (KeyError, TypeError) as error:
-        raise ValueError(f"no final record: {error!r}") from None
+        raise ValueError(f"invalid final record: {error!r}") from None
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -1,13 +1,13 @@
-"""Take-over, loss of executors and late orders, replayed in virtual time."""
+"""Takeovers, lost executors and late orders, replayed in simulated time."""
 
 from leader_harness import LeaderHarness, make_step, make_submission
 
-from cranberrywheel.submission.maintenance import runs_to_move
+from cranberrywheel.submission.maintenance import choose_runs_to_move
 from cranberrywheel.submission.model import SubmissionState
 
 
-def test_runs_a_submission_to_its_end(monkeypatch):
-    """A submission that is never started or never shown as completed."""
+def test_submission_runs_to_completion(monkeypatch):
+    """Guards against a submission that never starts or never shows as completed."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
     harness.start_leader()
@@ -17,9 +17,11 @@
     assert harness.fleet.violations == []
 
 
-def test_take_over_does_not_acknowledge_before_it_has_loaded(monkeypatch):
-    """An end that is acknowledged before its submission is known is lost, and the
-    task runs again (seen on mlr-clyde trouble-1: 55 tasks ran twice)."""
+def test_takeover_does_not_acknowledge_before_it_has_loaded(monkeypatch):
+    """Guards against a completion that is acknowledged before its submission is loaded.
+
+    The completion was lost and the task ran again; 55 tasks of one run did.
+    """
     harness = LeaderHarness(monkeypatch)
     for name in "abc":
         harness.fleet.add(name, "pool")
@@ -28,7 +30,7 @@
         harness.submit(make_submission(f"s{index}", make_step(2)), 500)
     harness.run_for(450)
     harness.leader.stop()
-    harness.run_for(100)  # the runs end while nobody looks
+    harness.run_for(100)  # the runs end while there is no leader
     harness.store.delay_ms_by_prefix["cw/j/"] = 50
     harness.start_leader()
     harness.run_for(8_000)
@@ -39,8 +41,8 @@
     assert harness.fleet.starts == 12
 
 
-def test_take_over_keeps_lasting_tasks(monkeypatch):
-    """A leader that stops runs which it does not know yet (AVAIL on trouble-1)."""
+def test_takeover_keeps_long_running_tasks(monkeypatch):
+    """Guards against a leader that stops runs whose submission is not loaded yet."""
     harness = LeaderHarness(monkeypatch)
     for name in "abc":
         harness.fleet.add(name, "pool")
@@ -54,9 +56,11 @@
     assert harness.fleet.starts == 3
 
 
-def test_executor_that_left_does_not_delay_the_next_leader(monkeypatch):
-    """Waiting work of earlier submissions stood still for six seconds after each
-    take-over, because executors that had left were still waited for."""
+def test_removed_executor_does_not_delay_the_next_leader(monkeypatch):
+    """Guards against a takeover that waits for the leases of removed executors.
+
+    Waiting work of earlier submissions did not start for six seconds.
+    """
     harness = LeaderHarness(monkeypatch)
     for name in "ab":
         harness.fleet.add(name, "pool", cpu=1_000)
@@ -72,8 +76,9 @@
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
 
 
-def test_lost_executor_of_another_pool_does_not_hold_back_a_queue(monkeypatch):
-    """After a take-over one dark rack held back the queues of all pools."""
+def test_unreachable_executor_delays_no_queue_of_another_pool(monkeypatch):
+    """Guards against one unreachable rack that delays the queues of all pools after a
+    takeover."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool", cpu=1_000)
     harness.fleet.add("x", "other")
@@ -86,8 +91,8 @@
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
 
 
-def test_cut_off_executor_runs_a_task_alone(monkeypatch):
-    """A task starts elsewhere while it still runs behind a partition."""
+def test_task_on_a_partitioned_executor_runs_only_there(monkeypatch):
+    """Guards against a second run of a task that still runs behind a partition."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
     harness.fleet.add("b", "pool")
@@ -102,8 +107,8 @@
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
 
 
-def test_start_without_an_answer_never_runs_twice(monkeypatch):
-    """Orders that are carried out seconds late, after the task went elsewhere."""
+def test_unanswered_start_never_leads_to_two_runs(monkeypatch):
+    """Guards against starts that take effect seconds late, after a start elsewhere."""
     harness = LeaderHarness(monkeypatch, seed=7)
     for name in "abc":
         harness.fleet.add(name, "pool").mute_share = 0.3
@@ -118,8 +123,11 @@
     )
 
 
-def test_restarted_executor_gives_its_tasks_back_at_once(monkeypatch):
-    """A boot at the same id and address that knows nothing of before."""
+def test_restarted_executor_has_its_tasks_requeued_at_once(monkeypatch):
+    """Guards against waiting for the lease of a process that has been replaced.
+
+    The new process has the same id and address but no runs.
+    """
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
     harness.start_leader()
@@ -131,8 +139,8 @@
     assert harness.fleet.violations == []
 
 
-def test_cancelled_submission_stops_and_stays_cancelled(monkeypatch):
-    """Work that runs on after its cancellation."""
+def test_cancelled_submission_stops_and_stays_cancelled_after_takeover(monkeypatch):
+    """Guards against work that continues after its cancellation."""
     harness = LeaderHarness(monkeypatch)
     executor = harness.fleet.add("a", "pool")
     harness.start_leader()
@@ -147,8 +155,8 @@
     assert harness.scheduler.state_of("s1") is SubmissionState.CANCELLED
 
 
-def test_failing_task_fails_its_submission_after_its_attempts(monkeypatch):
-    """A submission that can never be done and is tried for ever."""
+def test_failing_task_fails_its_submission_after_all_attempts(monkeypatch):
+    """Guards against a submission that can never complete and is retried for ever."""
     harness = LeaderHarness(monkeypatch)
     for name in "abcd":
         harness.fleet.add(name, "pool").fails = True
@@ -159,9 +167,9 @@
     assert harness.fleet.starts == 3
 
 
-def test_lasting_step_loses_one_task_at_a_time(monkeypatch):
-    """Two machines that are emptied at once took two tasks of one step, although
-    only one may be missing (AVAIL on mlr-clyde quiet-1)."""
+def test_long_running_step_loses_one_task_at_a_time(monkeypatch):
+    """Guards against two drained machines that stop two tasks of one step at once,
+    although only one may be unavailable."""
     harness = LeaderHarness(monkeypatch)
     for name in "abcdef":
         harness.fleet.add(name, "pool")
@@ -171,19 +179,21 @@
     harness.run_for(2_000)
     now_ms = harness.loop.clock.now_ms()
     executors = list(harness.scheduler.executors_by_id.values())
-    stopped = 0
+    stopped_count = 0
     for executor in executors:
         executor.cordoned = True
-        for run in runs_to_move(executor, executors, now_ms):
+        for run in choose_runs_to_move(executor, executors, now_ms):
             harness.scheduler.stop_run(run, now_ms, "planned upkeep")
-            stopped += 1
+            stopped_count += 1
         executor.cordoned = False
-    assert stopped == 1
+    assert stopped_count == 1
 
 
-def test_lost_executors_tasks_start_elsewhere_when_its_lease_has_ended(monkeypatch):
-    """Looks that tried to reach a dark executor renewed its lease, so that its
-    tasks waited until it was back (kayis-ortak scale-1)."""
+def test_tasks_of_an_unreachable_executor_start_elsewhere_after_its_lease(monkeypatch):
+    """Guards against polls of an unreachable executor that extend its lease.
+
+    Its tasks then waited until it was reachable again.
+    """
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
     harness.start_leader()
@@ -195,9 +205,9 @@
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
 
 
-def test_task_on_a_lost_executor_counts_as_away(monkeypatch):
-    """Upkeep took a second task of a lasting step while one was on an executor that
-    had been dark for seconds (AVAIL on kayis-ortak scale-1)."""
+def test_task_on_an_unreachable_executor_counts_as_unavailable(monkeypatch):
+    """Guards against maintenance that stops a second task of a long-running step while
+    another is on an executor that has been unreachable for seconds."""
     harness = LeaderHarness(monkeypatch)
     for name in "abcdef":
         harness.fleet.add(name, "pool")
@@ -205,18 +215,24 @@
     step = make_step(4, long_running=True, may_miss=1, anti_affinity=1)
     harness.submit(make_submission("s1", step), long_running=True)
     harness.run_for(2_000)
-    executors = [x for x in harness.scheduler.executors_by_id.values() if x.runs]
+    executors = [
+        executor
+        for executor in harness.scheduler.executors_by_id.values()
+        if executor.runs
+    ]
     harness.fleet.by_id[executors[0].id].cut = True
     harness.run_for(3_000)
     executors[1].cordoned = True
     pool = list(harness.scheduler.executors_by_id.values())
-    assert runs_to_move(executors[1], pool, harness.loop.clock.now_ms()) == []
+    assert choose_runs_to_move(executors[1], pool, harness.loop.clock.now_ms()) == []
+
 
+def test_handed_over_work_does_not_wait_for_an_unreachable_executor(monkeypatch):
+    """Guards against a planned stop of the leader that stalls all waiting work.
 
-def test_handed_over_work_does_not_wait_for_a_lost_executor(monkeypatch):
-    """After a planned stop of the leader during a zone's partition, all waiting work
-    of earlier submissions stood still until every lease had ended (mlr-clyde
-    trouble-1, 35 to 40 s)."""
+    During a partition of an availability zone, work of earlier submissions waited 35
+    to 40 s, until every lease had expired.
+    """
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool", cpu=1_000)
     harness.fleet.add("b", "pool", cpu=1_000)
@@ -234,9 +250,12 @@
     assert harness.fleet.violations == []
 
 
-def test_account_of_an_older_leader_is_not_used(monkeypatch):
-    """A leader that crashed after a hand-over left runs which the account of its
-    predecessor does not name."""
+def test_handover_record_of_an_older_leader_is_not_used(monkeypatch):
+    """Guards against the use of an outdated handover record.
+
+    A leader that crashed after a handover left runs that the record of its predecessor
+    does not name.
+    """
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
     harness.start_leader()
@@ -253,9 +272,12 @@
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
 
 
-def test_steps_that_never_began_do_not_wait_for_lost_executors(monkeypatch):
-    """After the leader's own zone was cut off, work that nobody had started waited
-    for the leases of the zone's executors (kayis-ortak, recorded day inc-1bb5)."""
+def test_steps_that_never_began_do_not_wait_for_unreachable_executors(monkeypatch):
+    """Guards against work that was never started but waits for leases at a takeover.
+
+    It waited for the executors of an availability zone that was partitioned with the
+    leader.
+    """
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool", cpu=1_000)
     harness.fleet.add("b", "pool", cpu=1_000)
@@ -272,9 +294,11 @@
     assert harness.fleet.violations == []
 
 
-def test_records_are_not_trusted_after_an_outage_of_the_store(monkeypatch):
-    """While the store was away for all, steps began without a record; a new leader
-    that believed the records would start them a second time."""
+def test_records_are_not_trusted_after_a_store_outage(monkeypatch):
+    """Guards against a second start of steps that began during a store outage.
+
+    The stored records do not name these steps.
+    """
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
     harness.start_leader()
@@ -294,9 +318,12 @@
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
 
 
-def test_ends_that_are_not_stored_yet_are_handed_over(monkeypatch):
-    """A leader that stopped between an end and its record let the next one start the
-    task again (TWICE on kayis-ortak trouble-2, once in two plays)."""
+def test_completions_not_stored_yet_are_handed_over(monkeypatch):
+    """Guards against a second run of a task whose completion was not stored in time.
+
+    The leader stopped between the completion and the write of its record; one of two
+    runs of a scenario showed it.
+    """
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
     harness.start_leader()
@@ -315,8 +342,8 @@
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
 
 
-def test_copy_starts_at_once_where_copies_may_run(monkeypatch):
-    """A task on a lost executor waits for its lease although a copy is allowed."""
+def test_speculative_run_starts_while_executor_is_unreachable(monkeypatch):
+    """Guards against a speculative task that waits for the lease of its lost run."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
     harness.start_leader()
@@ -329,8 +356,8 @@
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
 
 
-def test_work_that_saves_its_progress_leaves_a_slow_executor(monkeypatch):
-    """Tasks that stay for seconds on an executor that runs at a sixth of its speed."""
+def test_task_with_checkpoints_leaves_a_slow_executor(monkeypatch):
+    """Guards against tasks that stay on an executor at a sixth of its speed."""
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("slow", "pool", cpu=8_000).slowness = 8
     harness.start_leader()
@@ -347,10 +374,12 @@
     assert harness.fleet.violations == []
 
 
-def test_account_of_a_leader_that_was_not_settled_says_so(monkeypatch):
-    """A leader that took over during a zone's partition and stopped before the
-    leases behind the partition had ended handed over an account without the runs
-    there (TWICE on deploy/days/cut-and-roll.toml)."""
+def test_handover_record_names_executors_that_were_never_polled(monkeypatch):
+    """Guards against a handover record that omits runs behind a partition.
+
+    A leader took over during a partition and stopped before the leases behind it had
+    expired; tasks then ran twice (deploy/days/cut-and-roll.toml).
+    """
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool", cpu=1_000)
     harness.start_leader()
@@ -368,9 +397,11 @@
     assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
 
 
-def test_leader_that_stops_before_it_has_loaded_leaves_no_account(monkeypatch):
-    """A rolling restart that stops the new leader while it reads the store; an empty
-    account would say that nothing runs."""
+def test_leader_that_has_not_loaded_leaves_no_usable_handover_record(monkeypatch):
+    """Guards against an empty handover record, which would state that nothing runs.
+
+    A rolling restart stops the new leader while it still reads the store.
+    """
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool", cpu=1_000)
     harness.start_leader()
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Order and end of a wave of upkeep."""
+"""Order and completion of a maintenance wave, decided without I/O."""
 
 from cranberrywheel.submission.machines import Machine, MachineState, Wave
 from cranberrywheel.submission.maintenance import (
@@ -7,7 +7,7 @@
     choose_machines_to_drain,
 )
 
-UPKEEP_MS = 2_000
+MAINTENANCE_MS = 2_000
 
 
 def make_machines(*rows):
@@ -21,28 +21,32 @@
 
 
 def choose(state, machines, pressure, now_ms=0):
-    return choose_machines_to_drain(state, machines, {}, pressure, UPKEEP_MS, now_ms)
+    return choose_machines_to_drain(
+        state, machines, {}, pressure, MAINTENANCE_MS, now_ms
+    )
 
 
-def test_pool_at_rest_goes_before_the_busy_one():
-    """A wave that takes machines out of a pool in its queue's turn (worst windows
-    0.22 on mlr-clyde scale-1)."""
+def test_idle_pool_is_drained_before_a_busy_one():
+    """Guards against a wave that takes machines from a pool during its queue's burst.
+
+    The worst windows served 0.22 of their work when that happened.
+    """
     up = MachineState.UP
     machines = make_machines(("a1", "a", up), ("b1", "b", up), ("b2", "b", up))
     state = make_state("a1", "b1", "b2")
     assert choose(state, machines, {"a": 1.4, "b": 0.1}) == ["b1", "b2"]
 
 
-def test_busy_pool_gives_machines_when_time_runs_out():
-    """A wave that is never finished because a pool never rests."""
+def test_busy_pool_is_drained_when_time_runs_short():
+    """Guards against a wave that never finishes because a pool is never idle."""
     machines = make_machines(("a1", "a", MachineState.UP))
     state = make_state("a1")
     assert choose(state, machines, {"a": 1.4}) == []
     assert choose(state, machines, {"a": 1.4}, now_ms=19_000) == ["a1"]
 
 
-def test_no_more_machines_than_allowed_are_away():
-    """More machines down for one wave than its limit."""
+def test_unavailable_machines_stay_within_the_wave_limit():
+    """Guards against more machines down at once than the wave allows."""
     rows = [(f"p{i}", f"pool{i}", MachineState.UP) for i in range(6)]
     machines = make_machines(*rows, ("d", "pool9", MachineState.MAINTENANCE))
     state = make_state(*machines, at_once=3)
@@ -51,9 +55,8 @@
     assert len(choose(state, machines, {})) == 1
 
 
-def test_wave_is_completed_without_a_machine_that_has_left():
-    """A wave that was never said to be done because a machine of it was lost for
-    good (recorded day inc-d84e of mlr-clyde)."""
+def test_wave_completes_without_a_removed_machine():
+    """Guards against a wave that never completes once a machine was removed."""
     state = make_state("a1", "a2")
     state.begun.add("a1")
     state.update_presence({"a1"}, 0)
@@ -62,7 +65,7 @@
 
 
 def test_wave_waits_for_a_machine_that_is_down():
-    """A wave said to be done while a machine that stays has had no upkeep."""
+    """Guards against a wave that completes before a listed machine is maintained."""
     state = make_state("a1", "a2")
     state.begun.add("a1")
     state.update_presence({"a1", "a2"}, 0)
--- a/tests/test_pool_sizing.py
+++ b/tests/test_pool_sizing.py
@@ -1,4 +1,4 @@
-"""Moves of machines when queues have their turns, decided without input or output."""
+"""Moves of machines between pools around bursts, decided without I/O."""
 
 from cranberrywheel.submission.machines import Machine, MachineState
 from cranberrywheel.submission.pool_sizing import (
@@ -20,12 +20,12 @@
 
 def decide(state, machines, demand, now_ms, reserved=(), empty=True):
     return decide_moves(
-        state, machines, STANDBY, demand, set(reserved), lambda m: empty, now_ms
+        state, machines, STANDBY, demand, set(reserved), lambda machine: empty, now_ms
     )
 
 
-def test_spare_machines_join_the_pool_whose_queue_has_its_turn():
-    """A queue that asks for more than its pool holds while machines stand by."""
+def test_standby_machines_join_the_pool_with_a_burst():
+    """Guards against a pool that stays overloaded while standby machines are unused."""
     machines = [make_machine(f"a{i}", "a") for i in range(4)]
     machines += [make_machine(f"s{i}", "spare") for i in range(4)]
     demand = {"a": PoolDemand(4_000, 4_500, 4_000, 1_000)}
@@ -33,8 +33,8 @@
     assert [pool for _, pool in decision.moves] == ["a"] * 3
 
 
-def test_machines_on_their_way_are_counted():
-    """Each look at the machines ordered as many again."""
+def test_moving_machines_count_for_the_demand():
+    """Guards against decisions that order the same machines again each time."""
     machines = [make_machine(f"a{i}", "a") for i in range(4)]
     machines += [make_machine(f"s{i}", "spare") for i in range(4)]
     demand = {"a": PoolDemand(4_000, 4_500, 4_000, 1_000)}
@@ -43,21 +43,23 @@
     assert decide(state, machines, demand, 400).moves == ()
 
 
-def test_lent_machines_go_back_after_the_turn_once_they_are_empty():
-    """Machines that stay, and are paid for, after the turn is over; or that leave
-    while tasks run on them."""
+def test_borrowed_machines_return_after_the_burst_once_empty():
+    """Guards against paying for borrowed machines after the burst, and against moving
+    them while tasks run on them."""
     state = PoolSizingState(home_pool_by_machine={"s0": "spare"})
     machines = [make_machine("s0", "a")]
-    calm = {"a": PoolDemand(100, 0, 4_000, 1_000)}
-    assert decide(state, machines, calm, 0).moves == ()
-    later = RETURN_DELAY_MS + 1
-    busy = decide(state, machines, calm, later, empty=False)
-    assert busy.moves == () and busy.drain == ("s0",)
-    assert decide(state, machines, calm, later + 400).moves == (("s0", "spare"),)
+    low_demand = {"a": PoolDemand(100, 0, 4_000, 1_000)}
+    assert decide(state, machines, low_demand, 0).moves == ()
+    later_ms = RETURN_DELAY_MS + 1
+    occupied_decision = decide(state, machines, low_demand, later_ms, empty=False)
+    assert occupied_decision.moves == () and occupied_decision.drain == ("s0",)
+    assert decide(state, machines, low_demand, later_ms + 400).moves == (
+        ("s0", "spare"),
+    )
 
 
-def test_lent_machine_goes_straight_to_the_next_turn():
-    """A detour over the standby pool costs two moves and three seconds."""
+def test_returning_machine_moves_directly_to_the_next_burst():
+    """Guards against a detour over the standby pool: two moves and three seconds."""
     state = PoolSizingState(home_pool_by_machine={"s0": "spare"}, returning={"s0"})
     machines = [make_machine("s0", "a")]
     demand = {
@@ -67,66 +69,71 @@
     assert decide(state, machines, demand, 5_000).moves == (("s0", "b"),)
 
 
-def test_machine_that_a_wave_needs_stays():
-    """A move in the middle of a wave makes its upkeep late."""
+def test_machine_reserved_by_a_wave_does_not_move():
+    """Guards against a move during a wave, which delays the machine's maintenance."""
     machines = [make_machine("s0", "spare")]
     demand = {"a": PoolDemand(4_000, 3_000, 4_000, 1_000)}
     assert decide(PoolSizingState(), machines, demand, 0, reserved={"s0"}).moves == ()
 
 
-def test_short_gap_in_a_turn_returns_nothing():
-    """Machines that go back and forth within one turn."""
+def test_short_gap_in_a_burst_returns_no_machine():
+    """Guards against machines that move back and forth within one burst."""
     state = PoolSizingState(home_pool_by_machine={"s0": "spare"})
     machines = [make_machine("s0", "a")]
-    calm = {"a": PoolDemand(100, 0, 4_000, 1_000)}
-    decide(state, machines, calm, 0)
+    low_demand = {"a": PoolDemand(100, 0, 4_000, 1_000)}
+    decide(state, machines, low_demand, 0)
     decide(state, machines, {"a": PoolDemand(4_000, 0, 4_000, 1_000)}, 400)
-    assert decide(state, machines, calm, RETURN_DELAY_MS + 100).drain == ()
+    assert decide(state, machines, low_demand, RETURN_DELAY_MS + 100).drain == ()
 
 
-CALM = PoolDemand(100, 0, 8_000, 1_000)
+LOW_DEMAND = PoolDemand(100, 0, 8_000, 1_000)
 
 
-def make_rest(count=8):
+def make_idle_pool(count=8):
     return [make_machine(f"a{i}", "a") for i in range(count)] + [
         make_machine("s0", "spare")
     ]
 
 
-def test_pool_at_rest_switches_machines_off_but_keeps_a_reserve():
-    """Idle machines that are paid for between two turns; or a pool at rest that a
-    lost rack leaves without machines."""
+def test_idle_pool_switches_machines_off_but_keeps_a_reserve():
+    """Guards against paying for unused machines between two bursts, and against an
+    idle pool that loses all its machines with one rack."""
     state = PoolSizingState()
-    machines = make_rest()
-    assert decide(state, machines, {"a": CALM}, 0).moves == ()
-    moves = decide(state, machines, {"a": CALM}, IDLE_DELAY_MS).moves
+    machines = make_idle_pool()
+    assert decide(state, machines, {"a": LOW_DEMAND}, 0).moves == ()
+    moves = decide(state, machines, {"a": LOW_DEMAND}, IDLE_DELAY_MS).moves
     assert [pool for _, pool in moves] == ["spare", "spare"]
 
 
 def test_machine_with_work_is_not_switched_off():
-    """A lasting task that ends because its machine was switched off."""
+    """Guards against switching off a machine on which a long-running task runs."""
     state = PoolSizingState()
-    decide(state, make_rest(), {"a": CALM}, 0)
-    decision = decide(state, make_rest(), {"a": CALM}, IDLE_DELAY_MS, empty=False)
+    decide(state, make_idle_pool(), {"a": LOW_DEMAND}, 0)
+    decision = decide(
+        state, make_idle_pool(), {"a": LOW_DEMAND}, IDLE_DELAY_MS, empty=False
+    )
     assert decision.moves == ()
 
 
-def test_pool_gets_its_machines_back_before_the_expected_turn():
-    """Machines that come 1.5 s after a turn that repeats has begun."""
+def test_pool_gets_its_machines_back_before_the_expected_burst():
+    """Guards against machines that arrive 1.5 s after the start of a periodic burst."""
     state = PoolSizingState(burst_starts_ms={"a": [0, 18_000]})
-    home = dict.fromkeys(("a0", "a1", "a2", "a3"), "a")
-    state.home_pool_by_machine.update(home)
+    home_pools = dict.fromkeys(("a0", "a1", "a2", "a3"), "a")
+    state.home_pool_by_machine.update(home_pools)
     machines = [make_machine(f"a{i}", "a") for i in range(3)]
     machines.append(make_machine("a3", "spare"))
-    assert decide(state, machines, {"a": CALM}, 30_000).moves == ()
+    assert decide(state, machines, {"a": LOW_DEMAND}, 30_000).moves == ()
     expected_ms = 36_000 - BURST_LEAD_MS
-    assert decide(state, machines, {"a": CALM}, expected_ms).moves == (("a3", "a"),)
+    assert decide(state, machines, {"a": LOW_DEMAND}, expected_ms).moves == (
+        ("a3", "a"),
+    )
 
 
-def test_pool_that_lost_machines_gets_others():
-    """A pool at rest whose rack went dark stays at a quarter of its size."""
+def test_idle_pool_that_lost_machines_gets_others():
+    """Guards against an idle pool that stays at a quarter of its size after a rack
+    became unreachable."""
     state = PoolSizingState(home_pool_by_machine={f"a{i}": "a" for i in range(8)})
     machines = [make_machine(f"a{i}", "a") for i in range(4)]
     machines += [make_machine(f"s{i}", "spare") for i in range(3)]
-    moves = decide(state, machines, {"a": CALM}, 0).moves
+    moves = decide(state, machines, {"a": LOW_DEMAND}, 0).moves
     assert [pool for _, pool in moves] == ["a", "a"]
