--- a/src/cranberrywheel/submission/maintenance.py
+++ b/src/cranberrywheel/submission/maintenance.py
@@ -141,7 +141,7 @@
         executor = executors_by_machine.get(machine_id)
         return executor.used.cpu if executor else 0
 
-    for pool in sorted(remaining_by_pool, key=lambda p: pressure_by_pool.get(p, 0.0)):
+    for pool in sorted(remaining_by_pool, key=lambda name: pressure_by_pool.get(name, 0.0)):
         remaining = remaining_by_pool[pool]
         unavailable = unavailable_by_pool.get(pool, 0)
         pressure = pressure_by_pool.get(pool, 0.0)
--- a/src/cranberrywheel/submission/pool_sizing.py
+++ b/src/cranberrywheel/submission/pool_sizing.py
@@ -126,7 +126,7 @@
     surplus_by_pool = _count_surplus_machines(
         state, machines, demand_by_pool, standby_pools, missing_by_pool, now_ms
     )
-    standby_pool = next((m.pool for m in machines if m.pool in standby_pools), None)
+    standby_pool = next((machine.pool for machine in machines if machine.pool in standby_pools), None)
     moves: list[tuple[str, str]] = []
 
     def order_move(machine: Machine, pool: str) -> None:
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -183,7 +183,7 @@
     for executor in executors:
         executor.cordoned = True
         for run in choose_runs_to_move(executor, executors, now_ms):
-            harness.scheduler.stop_run(run, now_ms, "planned upkeep")
+            harness.scheduler.stop_run(run, now_ms, "planned maintenance")
             stopped_count += 1
         executor.cordoned = False
     assert stopped_count == 1
