--- a/src/cranberrywheel/node/duties.py
+++ b/src/cranberrywheel/node/duties.py
@@ -10,7 +10,7 @@
 from cranberrywheel.node.watch import PrefixWatch
 from cranberrywheel.platform import machines as wire
 from cranberrywheel.platform.store import Item, Store, Write
-from cranberrywheel.submission.demand import pressure_by_service
+from cranberrywheel.submission.demand import compute_pressure_by_service
 from cranberrywheel.submission.executor import Executor
 from cranberrywheel.submission.machines import Machine, MachineOrderVerdict
 from cranberrywheel.submission.maintenance import (
@@ -92,7 +92,7 @@
         state = WaveState(wave, self._loop.clock.now_ms())
         state.begun = set(self._recorded.get(item.key, ()))
         self._states_by_key[item.key] = state
-        self._scheduler.maintenance_due.update(state.remaining())
+        self._scheduler.maintenance_due.update(state.list_remaining())
         _log.event(
             "wave",
             wave=wave.number,
@@ -116,7 +116,7 @@
             reserved = {
                 machine
                 for state in self._states_by_key.values()
-                for machine in state.remaining()
+                for machine in state.list_remaining()
             }
             self._pools.advance(machines, self._executors_by_machine(), reserved)
         for key, state in self._states_by_key.items():
@@ -139,7 +139,7 @@
             state,
             self._machines_by_id,
             executors,
-            pressure_by_service(self._scheduler),
+            compute_pressure_by_service(self._scheduler),
             self._scheduler.timing.maintenance_ms,
             now_ms,
         ):
@@ -170,7 +170,7 @@
         """Say which machines the wave waits for, when that changes."""
         waiting = {
             machine_id: machine.state.value if machine else "gone"
-            for machine_id in state.remaining()
+            for machine_id in state.list_remaining()
             if not (machine := self._machines_by_id.get(machine_id))
             or not machine.is_up
         }
--- a/src/cranberrywheel/node/leader.py
+++ b/src/cranberrywheel/node/leader.py
@@ -523,7 +523,7 @@
                 if live.progress_revision:
                     deletes.append(key + PROGRESS_SUFFIX)
             else:
-                value = encode_progress(live.progress())
+                value = encode_progress(live.build_progress())
                 puts.append((key + PROGRESS_SUFFIX, value, 0))
         self._writes += 1
         self._store.write(
--- a/src/cranberrywheel/node/node.py
+++ b/src/cranberrywheel/node/node.py
@@ -42,7 +42,7 @@
 from cranberrywheel.platform.machines import MachineClient
 from cranberrywheel.platform.settings import NodeSettings
 from cranberrywheel.platform.store import Item, Outcome, Store, StoreReply, Write
-from cranberrywheel.submission.demand import queue_length
+from cranberrywheel.submission.demand import count_waiting_submissions
 from cranberrywheel.submission.model import (
     Configuration,
     Queue,
@@ -380,7 +380,7 @@
     ) -> None:
         give_up_ms = self._clock.now_ms() + wait_ms
         if self._leader and self._leadership.is_valid():
-            state = self._leader.scheduler.state_of(submission_id)
+            state = self._leader.scheduler.get_state(submission_id)
             if state is not None:
                 future.set_result(state)
                 return
@@ -468,7 +468,7 @@
     def _count_waiting(self, queue: Queue, future: "Future[int]") -> None:
         leader = self._leader
         if leader and leader.is_loaded:
-            future.set_result(queue_length(leader.scheduler, queue.key))
+            future.set_result(count_waiting_submissions(leader.scheduler, queue.key))
             return
         holder = self._leadership.holder
         if holder is None or holder.address == self._peer_address:
@@ -556,9 +556,9 @@
                 queue = str(json.loads(request.get_data())["queue"])
             except (KeyError, TypeError, ValueError):
                 return {}
-            return {"count": queue_length(leader.scheduler, queue)}
+            return {"count": count_waiting_submissions(leader.scheduler, queue)}
         if request.path.startswith("/peer/submission/"):
-            state = leader.scheduler.state_of(request.path.rpartition("/")[2])
+            state = leader.scheduler.get_state(request.path.rpartition("/")[2])
             return {"state": state.value} if state else {}
         return {}
 
--- a/src/cranberrywheel/node/pool_moves.py
+++ b/src/cranberrywheel/node/pool_moves.py
@@ -8,7 +8,7 @@
 from cranberrywheel.node.keys import HOMES_KEY, LEADER_KEY
 from cranberrywheel.platform.machines import MachineClient
 from cranberrywheel.platform.store import Outcome, Store, StoreReply, Write
-from cranberrywheel.submission.demand import demand_by_service
+from cranberrywheel.submission.demand import compute_demand_by_service
 from cranberrywheel.submission.executor import Executor
 from cranberrywheel.submission.machines import Machine, MachineOrderVerdict
 from cranberrywheel.submission.maintenance import choose_runs_to_move
@@ -89,7 +89,7 @@
             state,
             machines,
             standby,
-            demand_by_service(self._scheduler),
+            compute_demand_by_service(self._scheduler),
             reserved,
             is_empty,
             now_ms,
--- a/src/cranberrywheel/platform/executors.py
+++ b/src/cranberrywheel/platform/executors.py
@@ -87,7 +87,7 @@
     "fence": OrderVerdict.FENCED,
     "old": OrderVerdict.DUPLICATE,
     "late": OrderVerdict.LATE,
-    "room": OrderVerdict.NO_ROOM,
+    "room": OrderVerdict.NO_CAPACITY,
     "ticket": OrderVerdict.TICKET,
 }
 
--- a/src/cranberrywheel/submission/demand.py
+++ b/src/cranberrywheel/submission/demand.py
@@ -7,7 +7,7 @@
 from cranberrywheel.submission.state import SchedulerState
 
 
-def demand_by_service(state: SchedulerState) -> dict[str, PoolDemand]:
+def compute_demand_by_service(state: SchedulerState) -> dict[str, PoolDemand]:
     """Return the demand of each pool for short work, by service."""
     capacity: dict[str, int] = {}
     machine_cpu: dict[str, int] = {}
@@ -25,7 +25,7 @@
                 used[service] = used.get(service, 0) + step.claim.cpu
     for live in state.live_by_id.values():
         service = live.queue.service
-        for step_run in live.ready_steps():
+        for step_run in live.list_ready_steps():
             if not step_run.step.long_running:
                 claim = step_run.step.claim.cpu * len(step_run.waiting)
                 waiting[service] = waiting.get(service, 0) + claim
@@ -40,14 +40,15 @@
     }
 
 
-def pressure_by_service(state: SchedulerState) -> dict[str, float]:
+def compute_pressure_by_service(state: SchedulerState) -> dict[str, float]:
     """Return used and waiting cpu of short work as a fraction of each pool."""
     return {
-        service: demand.pressure for service, demand in demand_by_service(state).items()
+        service: demand.pressure
+        for service, demand in compute_demand_by_service(state).items()
     }
 
 
-def queue_length(state: SchedulerState, queue: str) -> int:
+def count_waiting_submissions(state: SchedulerState, queue: str) -> int:
     """Count the unfinished submissions of a queue of which no task has started.
 
     :param queue: key of the queue.
--- a/src/cranberrywheel/submission/duration_estimates.py
+++ b/src/cranberrywheel/submission/duration_estimates.py
@@ -30,6 +30,6 @@
         average = self._factor_by_queue.get(key, 1.0)
         self._factor_by_queue[key] = average + LEARNING_RATE * (observed - average)
 
-    def factor(self, live: LiveSubmission) -> float:
+    def get_factor(self, live: LiveSubmission) -> float:
         """Return the expected duration as a multiple of the declared one."""
         return self._factor_by_queue.get(live.submission.queue, 1.0)
--- a/src/cranberrywheel/submission/executor.py
+++ b/src/cranberrywheel/submission/executor.py
@@ -13,7 +13,7 @@
 EXPIRY_SLACK_MS = 200
 
 
-def lease_expiry_delay_ms(lease_ms: int) -> int:
+def compute_lease_expiry_delay(lease_ms: int) -> int:
     """Return the time after which a lease has expired on any clock, in milliseconds.
 
     :param lease_ms: granted duration in milliseconds.
@@ -155,7 +155,7 @@
         if self.clock_offset_ms is None:
             return 0
         self.lease_expiry_ms = max(
-            self.lease_expiry_ms, now_ms + lease_expiry_delay_ms(lease_ms)
+            self.lease_expiry_ms, now_ms + compute_lease_expiry_delay(lease_ms)
         )
         # A slow clock has advanced less than the leader's since it was read.
         drift_ms = int((now_ms - self.clock_read_ms) * (MAX_CLOCK_DRIFT_FACTOR - 1))
--- a/src/cranberrywheel/submission/executor_orders.py
+++ b/src/cranberrywheel/submission/executor_orders.py
@@ -82,7 +82,7 @@
 
     ``FENCED``: it has seen the fence of a newer leader. ``DUPLICATE``: the run is not
     newer than one that ended or was stopped there. ``LATE``: the order's deadline has
-    passed. ``NO_ROOM``: its capacity does not suffice. ``TICKET``: the advisor's
+    passed. ``NO_CAPACITY``: its capacity does not suffice. ``TICKET``: the advisor's
     ticket is missing or not valid. ``OTHER_BOOT``: another process has its address.
     ``REFUSED``: the order had no effect. ``UNKNOWN``: it may have been or may yet be
     carried out.
@@ -92,7 +92,7 @@
     FENCED = "fenced"
     DUPLICATE = "duplicate"
     LATE = "late"
-    NO_ROOM = "no-room"
+    NO_CAPACITY = "no-room"
     TICKET = "ticket"
     OTHER_BOOT = "other-boot"
     REFUSED = "refused"
--- a/src/cranberrywheel/submission/fault_detection.py
+++ b/src/cranberrywheel/submission/fault_detection.py
@@ -40,7 +40,7 @@
         or not step.estimated_ms
     ):
         return False
-    expected_ms = step.estimated_ms * estimates.factor(run.task.step_run.live)
+    expected_ms = step.estimated_ms * estimates.get_factor(run.task.step_run.live)
     elapsed_ms = now_ms - run.started_ms
     if elapsed_ms < max(PROGRESS_CHECK_MIN_MS, PROGRESS_CHECK_FRACTION * expected_ms):
         return False
@@ -71,7 +71,7 @@
     step = run.task.step_run.step
     if step.long_running or step.gang:
         return False
-    expected_ms = step.estimated_ms * estimates.factor(run.task.step_run.live)
+    expected_ms = step.estimated_ms * estimates.get_factor(run.task.step_run.live)
     # Even a slow executor reports each percent, so any progress restarts the timeout.
     timeout_ms = max(STALL_MS, STALL_FACTOR * expected_ms)
     return now_ms - run.last_progress_ms > timeout_ms
--- a/src/cranberrywheel/submission/handover.py
+++ b/src/cranberrywheel/submission/handover.py
@@ -84,7 +84,7 @@
             for run in executor.runs.values()
         ],
         {
-            live.submission.id: live.progress()
+            live.submission.id: live.build_progress()
             for live in state.live_by_id.values()
             if live.stored_version < live.version and not live.cancelled
         },
--- a/src/cranberrywheel/submission/live.py
+++ b/src/cranberrywheel/submission/live.py
@@ -250,7 +250,7 @@
         """Whether any task waits for a start."""
         return any(step_run.waiting for step_run in self.step_runs.values())
 
-    def ready_steps(self) -> tuple[StepRun, ...]:
+    def list_ready_steps(self) -> tuple[StepRun, ...]:
         """Return the steps with waiting tasks whose predecessors are done."""
         if self._ready_steps is None:
             self._ready_steps = tuple(
@@ -266,7 +266,7 @@
         schedule = self.submission.schedule
         return schedule.repeat_count if schedule else 1
 
-    def due_ms(self, occurrence: int) -> int:
+    def get_due_ms(self, occurrence: int) -> int:
         """Return the Unix time in milliseconds from which an occurrence may start."""
         schedule = self.submission.schedule
         if schedule is None:
@@ -295,7 +295,7 @@
             step_run.is_done for step_run in self.step_runs.values()
         )
 
-    def state(self) -> SubmissionState:
+    def get_visible_state(self) -> SubmissionState:
         """Return the state that callers see.
 
         A final state other than ``CANCELLED`` shows only once it is stored.
@@ -330,7 +330,7 @@
         for task in self.tasks():
             yield from task.runs
 
-    def progress(self) -> Progress:
+    def build_progress(self) -> Progress:
         """Return the progress that must be stored."""
         progress = Progress()
         for (occurrence, number), step_run in self.step_runs.items():
--- a/src/cranberrywheel/submission/maintenance.py
+++ b/src/cranberrywheel/submission/maintenance.py
@@ -73,15 +73,15 @@
         """Tell whether maintenance has begun on every machine that was not removed."""
         return all(
             now_ms - self.missing_since_ms.get(machine, now_ms) >= REMOVED_AFTER_MS
-            for machine in self.remaining()
+            for machine in self.list_remaining()
         )
 
-    def remaining(self) -> list[str]:
+    def list_remaining(self) -> list[str]:
         """Return the machines whose maintenance has not begun."""
         return [machine for machine in self.wave.machines if machine not in self.begun]
 
 
-def _concurrency_limit(
+def _compute_concurrency_limit(
     state: WaveState, pool_count: int, maintenance_ms: int, pressure: float, now_ms: int
 ) -> int:
     """Return how many machines of one pool may be unavailable at once.
@@ -141,11 +141,13 @@
         executor = executors_by_machine.get(machine_id)
         return executor.used.cpu if executor else 0
 
-    for pool in sorted(remaining_by_pool, key=lambda name: pressure_by_pool.get(name, 0.0)):
+    for pool in sorted(
+        remaining_by_pool, key=lambda name: pressure_by_pool.get(name, 0.0)
+    ):
         remaining = remaining_by_pool[pool]
         unavailable = unavailable_by_pool.get(pool, 0)
         pressure = pressure_by_pool.get(pool, 0.0)
-        limit = _concurrency_limit(
+        limit = _compute_concurrency_limit(
             state, len(remaining) + unavailable, maintenance_ms, pressure, now_ms
         )
         for machine_id in sorted(remaining, key=used_cpu)[
--- a/src/cranberrywheel/submission/model.py
+++ b/src/cranberrywheel/submission/model.py
@@ -114,7 +114,7 @@
 class Submission:
     """Work that a caller submitted. Stored records use the field names.
 
-    :param queue: key of the queue, from :func:`queue_key`.
+    :param queue: key of the queue, from :func:`build_queue_key`.
     :param service: service of the queue when the submission was accepted.
     :param organisation: owner of the API key of the call; ``""`` for a call without
         one.
@@ -152,7 +152,7 @@
         )
 
 
-def queue_key(host: str, prefix: str) -> str:
+def build_queue_key(host: str, prefix: str) -> str:
     """Return the key of a queue: its host and path prefix, separated by a space."""
     return f"{host} {prefix}"
 
@@ -191,8 +191,8 @@
 
     @property
     def key(self) -> str:
-        """Key of the queue, see :func:`queue_key`."""
-        return queue_key(self.host, self.prefix)
+        """Key of the queue, see :func:`build_queue_key`."""
+        return build_queue_key(self.host, self.prefix)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/cranberrywheel/submission/pool_sizing.py
+++ b/src/cranberrywheel/submission/pool_sizing.py
@@ -126,7 +126,9 @@
     surplus_by_pool = _count_surplus_machines(
         state, machines, demand_by_pool, standby_pools, missing_by_pool, now_ms
     )
-    standby_pool = next((machine.pool for machine in machines if machine.pool in standby_pools), None)
+    standby_pool = next(
+        (machine.pool for machine in machines if machine.pool in standby_pools), None
+    )
     moves: list[tuple[str, str]] = []
 
     def order_move(machine: Machine, pool: str) -> None:
@@ -191,7 +193,7 @@
         state.low_pressure_since_ms.setdefault(pool, now_ms)
 
 
-def expects_burst(state: PoolSizingState, pool: str, now_ms: int) -> bool:
+def is_burst_expected(state: PoolSizingState, pool: str, now_ms: int) -> bool:
     """Tell whether a burst of a pool is due, if the last interval repeats."""
     starts_ms = state.burst_starts_ms.get(pool, [])
     if len(starts_ms) < 2:
@@ -231,7 +233,9 @@
         present_count = _count_present(state, machines, pool)
         home_count = _count_home_machines(state, pool)
         missing_count = math.ceil(IDLE_KEEP_FRACTION * home_count) - present_count
-        if demand.pressure >= RESTORE_PRESSURE or expects_burst(state, pool, now_ms):
+        if demand.pressure >= RESTORE_PRESSURE or is_burst_expected(
+            state, pool, now_ms
+        ):
             missing_count = home_count - present_count
         if demand.waiting >= BORROW_THRESHOLD * demand.capacity:
             moving_count = sum(
@@ -263,7 +267,7 @@
             or pool in missing_by_pool
             or demand.pressure >= IDLE_PRESSURE
             or low_pressure_ms < IDLE_DELAY_MS
-            or expects_burst(state, pool, now_ms)
+            or is_burst_expected(state, pool, now_ms)
         ):
             continue
         keep_count = math.ceil(IDLE_KEEP_FRACTION * _count_home_machines(state, pool))
--- a/src/cranberrywheel/submission/queue_order.py
+++ b/src/cranberrywheel/submission/queue_order.py
@@ -14,14 +14,16 @@
 LONG_RUNNING, ON_TIME, LATE = 0, 1, 2
 
 
-def remaining_work(live: LiveSubmission, duration_factor: float) -> RemainingWork:
+def estimate_remaining_work(
+    live: LiveSubmission, duration_factor: float
+) -> RemainingWork:
     """Estimate the remaining work of a submission's begun occurrences.
 
     :param duration_factor: expected durations as a multiple of the declared ones.
     """
     declared = live.declared_remaining
     if declared is None:
-        declared = live.declared_remaining = _declared_remaining(live)
+        declared = live.declared_remaining = _estimate_declared_remaining(live)
     return RemainingWork(
         declared.critical_path_ms * duration_factor,
         declared.total_critical_path_ms * duration_factor,
@@ -29,7 +31,7 @@
     )
 
 
-def _declared_remaining(live: LiveSubmission) -> RemainingWork:
+def _estimate_declared_remaining(live: LiveSubmission) -> RemainingWork:
     steps = live.submission.steps
     core_ms = 0.0
     critical_path_ms = 0.0
@@ -54,7 +56,7 @@
     return RemainingWork(critical_path_ms, total_critical_path_ms, core_ms)
 
 
-def scheduling_key(
+def compute_scheduling_key(
     live: LiveSubmission, remaining: RemainingWork, unix_ms: int
 ) -> tuple[int, int, float]:
     """Return the sort key of a submission's waiting steps; the smallest goes first.
@@ -67,7 +69,7 @@
     queue = live.queue
     if live.has_long_running_step:
         return LONG_RUNNING, queue.priority, live.submission.accepted_ms
-    accepted_ms = max(live.submission.accepted_ms, live.due_ms(0))
+    accepted_ms = max(live.submission.accepted_ms, live.get_due_ms(0))
     objective_end_ms = (
         accepted_ms
         + queue.objective_factor * remaining.total_critical_path_ms
--- a/src/cranberrywheel/submission/scheduler.py
+++ b/src/cranberrywheel/submission/scheduler.py
@@ -152,7 +152,7 @@
             self.final_state_by_id[live.submission.id] = live.final_state
             if not live.run_count:
                 self.live_by_id.pop(live.submission.id, None)
-        elif live.ready_steps():
+        elif live.list_ready_steps():
             self.dirty_services.add(live.queue.service)
 
     def on_advice(
@@ -200,7 +200,7 @@
             while (
                 not live.final_state
                 and live.begun_occurrences < live.occurrences
-                and live.due_ms(live.begun_occurrences) <= unix_ms
+                and live.get_due_ms(live.begun_occurrences) <= unix_ms
             ):
                 live.begin_occurrence()
                 self.add_waiting_submission(live)
@@ -247,9 +247,9 @@
         taken, self.actions = self.actions, []
         return taken
 
-    def state_of(self, submission_id: str) -> SubmissionState | None:
+    def get_state(self, submission_id: str) -> SubmissionState | None:
         """Return the state that callers see, or ``None`` for an unknown submission."""
         live = self.live_by_id.get(submission_id)
         if live is not None:
-            return live.state()
+            return live.get_visible_state()
         return self.final_state_by_id.get(submission_id)
--- a/src/cranberrywheel/submission/scheduling_pass.py
+++ b/src/cranberrywheel/submission/scheduling_pass.py
@@ -18,7 +18,10 @@
     choose_executor,
     choose_gang_executors,
 )
-from cranberrywheel.submission.queue_order import remaining_work, scheduling_key
+from cranberrywheel.submission.queue_order import (
+    compute_scheduling_key,
+    estimate_remaining_work,
+)
 from cranberrywheel.submission.state import Advice, SchedulerState
 
 #: Run numbers that one leader may use for a task. Each leader begins above those of
@@ -48,13 +51,13 @@
     state.quota_limited_services.discard(service)
     pool = list(state.executors_by_service.get(service, {}).values())
     pool_capacity = PoolCapacity(pool)
-    for _, step_run in _startable_steps(
+    for _, step_run in _find_startable_steps(
         state, service, pool, pool_capacity, now_ms, unix_ms
     ):
         _start_step(state, step_run, pool, pool_capacity, now_ms, unix_ms)
 
 
-def _startable_steps(
+def _find_startable_steps(
     state: SchedulerState,
     service: str,
     pool: t.Sequence[Executor],
@@ -73,7 +76,7 @@
     awaiting_poll = any(executor.reachable for executor in unpolled)
     rows: list[tuple[tuple[int, int, float], StepRun]] = []
     for submission_id, live in list(waiting.items()):
-        ready = live.ready_steps()
+        ready = live.list_ready_steps()
         if not ready and not live.has_waiting:
             del waiting[submission_id]
         if live.recovered and awaiting_poll:
@@ -88,8 +91,10 @@
             )
         ]
         if startable:
-            remaining = remaining_work(live, state.duration_estimates.factor(live))
-            key = scheduling_key(live, remaining, unix_ms)
+            remaining = estimate_remaining_work(
+                live, state.duration_estimates.get_factor(live)
+            )
+            key = compute_scheduling_key(live, remaining, unix_ms)
             rows.extend((key, step_run) for step_run in startable)
     rows.sort(key=lambda row: row[0])
     return rows
@@ -107,7 +112,7 @@
     that tasks of it may run. While the store is unreachable no record is needed.
     """
     live = step_run.live
-    if live.submission.schedule and live.due_ms(step_run.occurrence) > unix_ms:
+    if live.submission.schedule and live.get_due_ms(step_run.occurrence) > unix_ms:
         return False
     if step_run.may_have_begun or state.store_unreachable:
         return True
@@ -132,7 +137,7 @@
         return
     tickets: dict[str, str] | None = None
     if live.queue.advised:
-        tickets = _advised_tickets(state, step_run, pool, now_ms)
+        tickets = _get_advised_tickets(state, step_run, pool, now_ms)
         pool = [executor for executor in pool if executor.id in tickets]
         pool_capacity = PoolCapacity(pool)
     if step.gang:
@@ -154,7 +159,7 @@
         _start_run(
             state,
             task,
-            _next_run_number(state, task),
+            _get_next_run_number(state, task),
             executor,
             ticket,
             now_ms,
@@ -185,7 +190,7 @@
     chosen = choose_gang_executors(pool_capacity.usable, step_run, now_ms)
     if chosen is None:
         return
-    number = max(_next_run_number(state, task) for task in step_run.tasks)
+    number = max(_get_next_run_number(state, task) for task in step_run.tasks)
     checkpoint = next(
         (task.checkpoint for task in step_run.tasks if task.checkpoint), ""
     )
@@ -195,7 +200,7 @@
         _start_run(state, task, number, executor, ticket, now_ms, unix_ms)
 
 
-def _next_run_number(state: SchedulerState, task: Task) -> int:
+def _get_next_run_number(state: SchedulerState, task: Task) -> int:
     return max(task.last_run_number, state.term * RUN_NUMBERS_PER_TERM) + 1
 
 
@@ -251,7 +256,7 @@
     return within_quota
 
 
-def _advised_tickets(
+def _get_advised_tickets(
     state: SchedulerState,
     step_run: StepRun,
     pool: t.Sequence[Executor],
--- a/src/cranberrywheel/submission/state.py
+++ b/src/cranberrywheel/submission/state.py
@@ -6,7 +6,7 @@
 from cranberrywheel.logs import PartLogger
 from cranberrywheel.submission import actions
 from cranberrywheel.submission.duration_estimates import DurationEstimates
-from cranberrywheel.submission.executor import Executor, lease_expiry_delay_ms
+from cranberrywheel.submission.executor import Executor, compute_lease_expiry_delay
 from cranberrywheel.submission.live import (
     LiveSubmission,
     Run,
@@ -84,7 +84,7 @@
         self.trusts_records = False
         self.store_unreachable = False
         self.may_start = True
-        self.previous_leases_end_ms = now_ms + lease_expiry_delay_ms(RUN_LEASE_MS)
+        self.previous_leases_end_ms = now_ms + compute_lease_expiry_delay(RUN_LEASE_MS)
         self.executors_by_id: dict[str, Executor] = {}
         self.executors_by_service: dict[str, dict[str, Executor]] = {}
         self.live_by_id: dict[str, LiveSubmission] = {}
--- a/src/cranberrywheel/submission/throttling.py
+++ b/src/cranberrywheel/submission/throttling.py
@@ -63,7 +63,7 @@
     return changes
 
 
-def _background_runs(executor: Executor) -> list[Run]:
+def _list_background_runs(executor: Executor) -> list[Run]:
     return [
         run
         for run in executor.runs.values()
@@ -84,7 +84,7 @@
 
 def _lower_speeds(executor: Executor, now_ms: int) -> list[actions.Action]:
     changes: list[actions.Action] = []
-    for run in _background_runs(executor):
+    for run in _list_background_runs(executor):
         percent = THROTTLED_PERCENT if run.speed_percent > THROTTLED_PERCENT else 0
         changes.extend(_set_speed(run, percent, now_ms))
     return changes
@@ -92,7 +92,7 @@
 
 def _raise_speeds(executor: Executor, now_ms: int) -> list[actions.Action]:
     changes: list[actions.Action] = []
-    for run in _background_runs(executor):
+    for run in _list_background_runs(executor):
         changes.extend(
             _set_speed(run, min(100, run.speed_percent + RAISE_STEP_PERCENT), now_ms)
         )
@@ -103,6 +103,6 @@
     executor: Executor, percent: int, now_ms: int
 ) -> list[actions.Action]:
     changes: list[actions.Action] = []
-    for run in _background_runs(executor):
+    for run in _list_background_runs(executor):
         changes.extend(_set_speed(run, percent, now_ms))
     return changes
--- a/src/cranberrywheel_standin/platform_server.py
+++ b/src/cranberrywheel_standin/platform_server.py
@@ -37,7 +37,7 @@
     OrderVerdict.FENCED: "fence",
     OrderVerdict.DUPLICATE: "old",
     OrderVerdict.LATE: "late",
-    OrderVerdict.NO_ROOM: "room",
+    OrderVerdict.NO_CAPACITY: "room",
 }
 
 
--- a/src/cranberrywheel_standin/virtual_fleet.py
+++ b/src/cranberrywheel_standin/virtual_fleet.py
@@ -359,7 +359,7 @@
             return OrderReply(OrderVerdict.DUPLICATE, self.clock_ms())
         if self.used() + self._fleet.cpu_of(order.task) > self.entry.capacity.cpu:
             self._fleet.rejections += 1
-            return OrderReply(OrderVerdict.NO_ROOM, self.clock_ms())
+            return OrderReply(OrderVerdict.NO_CAPACITY, self.clock_ms())
         now_ms = self._clock.now_ms()
         run = VirtualRun(
             order.task,
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -13,7 +13,7 @@
     harness.start_leader()
     harness.submit(make_submission("s1", make_step(3), make_step(2, after=(0,))))
     harness.run_for(3_000)
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
     assert harness.fleet.violations == []
 
 
@@ -35,7 +35,7 @@
     harness.start_leader()
     harness.run_for(8_000)
     assert harness.fleet.violations == []
-    assert [harness.scheduler.state_of(f"s{i}") for i in range(6)] == (
+    assert [harness.scheduler.get_state(f"s{i}") for i in range(6)] == (
         [SubmissionState.COMPLETED] * 6
     )
     assert harness.fleet.starts == 12
@@ -73,7 +73,7 @@
     harness.run_for(700)
     harness.start_leader()
     harness.run_for(2_500)
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
 
 
 def test_unreachable_executor_delays_no_queue_of_another_pool(monkeypatch):
@@ -88,7 +88,7 @@
     harness.fleet.by_id["x"].cut = True
     harness.start_leader()
     harness.run_for(1_500)
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
 
 
 def test_task_on_a_partitioned_executor_runs_only_there(monkeypatch):
@@ -104,7 +104,7 @@
     harness.fleet.by_id["a"].cut = False
     harness.run_for(6_000)
     assert harness.fleet.violations == []
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
 
 
 def test_unanswered_start_never_leads_to_two_runs(monkeypatch):
@@ -118,7 +118,7 @@
     harness.run_for(20_000)
     assert harness.fleet.violations == []
     assert all(
-        harness.scheduler.state_of(f"s{i}") is SubmissionState.COMPLETED
+        harness.scheduler.get_state(f"s{i}") is SubmissionState.COMPLETED
         for i in range(10)
     )
 
@@ -135,7 +135,7 @@
     harness.run_for(500)
     harness.fleet.by_id["a"].restart()
     harness.run_for(4_500)
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
     assert harness.fleet.violations == []
 
 
@@ -148,11 +148,11 @@
     harness.run_for(300)
     harness.cancel("s1")
     harness.run_for(1_000)
-    assert harness.scheduler.state_of("s1") is SubmissionState.CANCELLED
+    assert harness.scheduler.get_state("s1") is SubmissionState.CANCELLED
     assert not executor.runs
     harness.start_leader()
     harness.run_for(1_000)
-    assert harness.scheduler.state_of("s1") is SubmissionState.CANCELLED
+    assert harness.scheduler.get_state("s1") is SubmissionState.CANCELLED
 
 
 def test_failing_task_fails_its_submission_after_all_attempts(monkeypatch):
@@ -163,7 +163,7 @@
     harness.start_leader()
     harness.submit(make_submission("s1", make_step(1)), 200)
     harness.run_for(6_000)
-    assert harness.scheduler.state_of("s1") is SubmissionState.FAILED
+    assert harness.scheduler.get_state("s1") is SubmissionState.FAILED
     assert harness.fleet.starts == 3
 
 
@@ -202,7 +202,7 @@
     harness.fleet.add("b", "pool")
     harness.fleet.by_id["a"].cut = True
     harness.run_for(4_500 + 2_100)
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
 
 
 def test_task_on_an_unreachable_executor_counts_as_unavailable(monkeypatch):
@@ -246,7 +246,7 @@
     assert len(harness.fleet.done_ms_by_task) == 4
     harness.fleet.by_id["b"].cut = False
     harness.run_for(6_000)
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
     assert harness.fleet.violations == []
 
 
@@ -269,7 +269,7 @@
     harness.start_leader()
     harness.run_for(8_000)
     assert harness.fleet.violations == []
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
 
 
 def test_steps_that_never_began_do_not_wait_for_unreachable_executors(monkeypatch):
@@ -288,9 +288,9 @@
     harness.fleet.by_id["b"].cut = True
     harness.start_leader()
     harness.run_for(1_500)
-    assert harness.scheduler.state_of("s2") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s2") is SubmissionState.COMPLETED
     harness.run_for(6_000)
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
     assert harness.fleet.violations == []
 
 
@@ -315,7 +315,7 @@
     harness.start_leader().scheduler.trusts_records = False
     harness.run_for(9_000)
     assert harness.fleet.violations == []
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
 
 
 def test_completions_not_stored_yet_are_handed_over(monkeypatch):
@@ -339,7 +339,7 @@
     harness.fleet.by_id["a"].cut = False
     harness.run_for(3_000)
     assert harness.fleet.starts == 2
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
 
 
 def test_speculative_run_starts_while_executor_is_unreachable(monkeypatch):
@@ -353,7 +353,7 @@
     harness.fleet.by_id["a"].cut = True
     harness.fleet.add("b", "pool")
     harness.run_for(3_000)
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
 
 
 def test_task_with_checkpoints_leaves_a_slow_executor(monkeypatch):
@@ -368,7 +368,7 @@
     harness.fleet.add("b", "pool", cpu=8_000)
     harness.run_for(4_000)
     assert all(
-        harness.scheduler.state_of(f"s{i}") is SubmissionState.COMPLETED
+        harness.scheduler.get_state(f"s{i}") is SubmissionState.COMPLETED
         for i in range(3)
     )
     assert harness.fleet.violations == []
@@ -394,7 +394,7 @@
     harness.hand_over()
     harness.run_for(12_000)
     assert harness.fleet.violations == []
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
 
 
 def test_leader_that_has_not_loaded_leaves_no_usable_handover_record(monkeypatch):
@@ -415,4 +415,4 @@
     harness.hand_over()
     harness.run_for(9_000)
     assert harness.fleet.violations == []
-    assert harness.scheduler.state_of("s1") is SubmissionState.COMPLETED
+    assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
--- a/tests/test_queue_order.py
+++ b/tests/test_queue_order.py
@@ -12,8 +12,8 @@
     LATE,
     LONG_RUNNING,
     ON_TIME,
-    remaining_work,
-    scheduling_key,
+    compute_scheduling_key,
+    estimate_remaining_work,
 )
 
 QUEUE = Queue("q", "h", "/", "s", objective_factor=1.6, objective_ms=600)
@@ -28,7 +28,7 @@
 
 
 def key(live, unix_ms):
-    return scheduling_key(live, remaining_work(live, 1.0), unix_ms)
+    return compute_scheduling_key(live, estimate_remaining_work(live, 1.0), unix_ms)
 
 
 def test_work_that_can_meet_its_objective_precedes_late_work():
@@ -53,7 +53,7 @@
     """Guards against a nearly finished submission that is ordered as a long one."""
     live = make_live(make_step(1), make_step(1, after=(0,)))
     live.step_runs[0, 0].mark_done(live.step_runs[0, 0].tasks[0])
-    remaining = remaining_work(live, 1.0)
+    remaining = estimate_remaining_work(live, 1.0)
     assert (
         remaining.critical_path_ms,
         remaining.total_critical_path_ms,
@@ -68,10 +68,10 @@
 def simulate_burst(monkeypatch, seed, key_function):
     """Simulate a burst of 4.5 s that demands 1.5 times the pool's capacity.
 
-    :param key_function: replacement of ``scheduling_key``.
+    :param key_function: replacement of ``compute_scheduling_key``.
     :returns: share of the submissions that met their latency objective.
     """
-    monkeypatch.setattr(scheduling_pass, "scheduling_key", key_function)
+    monkeypatch.setattr(scheduling_pass, "compute_scheduling_key", key_function)
     harness = LeaderHarness(monkeypatch)
     for index in range(4):
         harness.fleet.add(f"x{index}", "pool", cpu=8_000)
@@ -92,7 +92,7 @@
         harness.submit(submission, rng.randint(700, 1_300))
     harness.run_for(15_000)
     assert all(
-        harness.scheduler.state_of(name) is SubmissionState.COMPLETED
+        harness.scheduler.get_state(name) is SubmissionState.COMPLETED
         for name in accepted_ms_by_name
     )
     assert harness.fleet.rejections == 0
@@ -114,7 +114,7 @@
     First come, first served meets 0.31, 0.28 and 0.58 of the objectives with these
     seeds; the scheduling key meets 0.75, 0.83 and 0.83.
     """
-    current_order_share = simulate_burst(monkeypatch, seed, scheduling_key)
+    current_order_share = simulate_burst(monkeypatch, seed, compute_scheduling_key)
     first_come_share = simulate_burst(
         monkeypatch,
         seed,
--- a/tests/test_scheduling_pass.py
+++ b/tests/test_scheduling_pass.py
@@ -3,7 +3,7 @@
 from leader_harness import LeaderHarness, make_step, make_submission
 
 from cranberrywheel.submission import placement
-from cranberrywheel.submission.demand import queue_length
+from cranberrywheel.submission.demand import count_waiting_submissions
 
 
 def test_steps_without_capacity_examine_no_executor(monkeypatch):
@@ -61,7 +61,7 @@
     harness.submit(make_submission("s1"))
     harness.run_for(1_500)
     assert harness.fleet.started_tasks == set()
-    assert queue_length(harness.scheduler, "shop /q/") == 1
+    assert count_waiting_submissions(harness.scheduler, "shop /q/") == 1
 
 
 def test_released_quota_marks_other_services_for_a_pass(monkeypatch):
