--- a/src/cranberrywheel/submission/machines.py
+++ b/src/cranberrywheel/submission/machines.py
@@ -8,7 +8,7 @@
 class Wave:
     """Machines that need maintenance within a time.
 
-    :param duration_ms: time within which the maintenance of every machine must begin.
+    :param duration_ms: time within which the maintenance of all of them is due.
     :param max_concurrent: most machines that may be down for the wave at once.
     """
 
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -20,7 +20,7 @@
 def test_takeover_does_not_acknowledge_before_it_has_loaded(monkeypatch):
     """Guards against a completion that is acknowledged before its submission is loaded.
 
-    The completion was lost and the task ran again; 55 tasks of one run did.
+    Such a completion is lost and the task runs again; in one case 55 tasks ran twice.
     """
     harness = LeaderHarness(monkeypatch)
     for name in "abc":
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -29,7 +29,7 @@
 def test_idle_pool_is_drained_before_a_busy_one():
     """Guards against a wave that takes machines from a pool during its queue's burst.
 
-    The worst windows served 0.22 of their work when that happened.
+    The worst time windows scored 0.22 when that happened.
     """
     up = MachineState.UP
     machines = make_machines(("a1", "a", up), ("b1", "b", up), ("b2", "b", up))
