--- a/src/cranberrywheel/process/capacity.py
+++ b/src/cranberrywheel/process/capacity.py
@@ -1,4 +1,4 @@
-"""How many workers each pool needs and what sizes and wave sizes cost."""
+"""Worker demand of each pool, and the cost of pool sizes and wave sizes."""
 
 import dataclasses
 import functools
@@ -12,31 +12,33 @@
 )
 from cranberrywheel.version.configuration import Configuration, Pool, Queue, Weights
 
-#: A queue bursts to five times its mean and lies at a twentieth in between.
+#: Load of a queue relative to its mean: five times the mean during a burst, a
+#: twentieth of it while the queue is idle.
 BURST_FACTOR = 5.0
 IDLE_FACTOR = 0.05
-#: A move costs its worker minutes of service once; a buffer costs all the time.
+#: Weight of a move relative to a buffer worker: a move costs a few minutes of
+#: service once, while a buffer worker costs all the time.
 MOVE_COST_FACTOR = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
 class PoolDemand:
-    """Workers that a pool needs.
+    """Number of workers that a pool needs.
 
-    :param mean: for its mean load.
-    :param surge: while its largest queue bursts and the others lie low.
+    :param mean_workers: for its mean load.
+    :param burst_workers: while its largest queue bursts and the others are idle.
     """
 
     mean_workers: float
     burst_workers: float
 
 
-def _workers_for(queue: Queue, usage: QueueUsage | None, pool: Pool) -> float:
-    """Return the workers that the mean load of a queue occupies."""
-    busy = usage.busy if usage else queue.mean_per_second * queue.run_ms / 1000
+def _compute_mean_workers(queue: Queue, usage: QueueUsage | None, pool: Pool) -> float:
+    """Return the number of workers that the mean load of a queue occupies."""
+    concurrency = usage.busy if usage else queue.mean_per_second * queue.run_ms / 1000
     cores = usage.cores if usage else queue.cores
     memory_mb = usage.memory_mb if usage else queue.memory_mb
-    return busy * max(
+    return concurrency * max(
         1 / pool.slots_per_executor, cores / pool.cores, memory_mb / pool.memory_mb
     )
 
@@ -44,54 +46,56 @@
 def compute_pool_demands(
     configuration: Configuration, usage_by_queue: dict[str, QueueUsage]
 ) -> dict[str, PoolDemand]:
-    """Compute what each pool needs, from learned usage where there is any.
+    """Compute the demand of each pool from measured usage, or else declared usage.
 
-    The queues of a pool share one buffer because they burst in turn: it covers the
-    largest burst, not their sum.
+    The queues of a pool share one buffer because they burst at different times: it
+    covers the largest burst, not the sum of all bursts.
     """
     means: dict[str, list[float]] = {name: [] for name in configuration.pools_by_name}
     for queue in configuration.queues_by_name.values():
         pool = configuration.pool_of_queue(queue.name)
-        workers = _workers_for(queue, usage_by_queue.get(queue.name), pool)
+        workers = _compute_mean_workers(queue, usage_by_queue.get(queue.name), pool)
         means[pool.name].append(workers)
-    needs = {}
+    demands_by_pool = {}
     for name, loads in means.items():
-        lull = IDLE_FACTOR * sum(loads)
-        burst = (BURST_FACTOR - IDLE_FACTOR) * max(loads, default=0.0)
-        needs[name] = PoolDemand(mean_workers=sum(loads), burst_workers=lull + burst)
-    return needs
+        idle_load = IDLE_FACTOR * sum(loads)
+        burst_increase = (BURST_FACTOR - IDLE_FACTOR) * max(loads, default=0.0)
+        demands_by_pool[name] = PoolDemand(
+            mean_workers=sum(loads), burst_workers=idle_load + burst_increase
+        )
+    return demands_by_pool
 
 
 @functools.lru_cache(maxsize=50_000)
 def compute_wave_limit(counts: tuple[int, ...], min_healthy: int) -> int:
-    """Return how many workers of a pool may be out so that any zone may be lost.
+    """Return how many workers may be out such that any one zone can still fail.
 
-    Where the loss of a zone breaks the budget without maintenance, only workers of
-    that zone may be out beyond the rest.
+    If the loss of a zone breaks the availability budget even without maintenance,
+    further workers may be out only in that zone.
 
     :param counts: workers of the pool in each of its zones, in any order.
     :param min_healthy: workers that must stay healthy.
     """
     total = sum(counts)
     slacks = [total - n - min(min_healthy, total - n) for n in counts]
-    for out in range(max(0, total - min_healthy), 0, -1):
-        # The workers out beyond a zone's slack must lie in that zone itself.
-        inside = [max(0, out - slack) for slack in slacks]
-        fits = all(a <= b for a, b in zip(inside, counts, strict=True))
-        if fits and sum(inside) <= out:
-            return out
+    for out_count in range(max(0, total - min_healthy), 0, -1):
+        # Workers out beyond the slack that a zone's loss leaves must be in that zone.
+        required_inside = [max(0, out_count - slack) for slack in slacks]
+        fits = all(a <= b for a, b in zip(required_inside, counts, strict=True))
+        if fits and sum(required_inside) <= out_count:
+            return out_count
     return 0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SizingProblem:
-    """Input of the size decision.
+    """Input of the pool size decision.
 
     :param counts: workers at present, by pool, then by zone.
-    :param min_healthy_by_pool: largest budget of the pool's services.
-    :param importance_by_pool: 1 plus the number of pools that depend on it; a
-        shortage in a dependency reaches its dependents.
-    :param spare_pools: pools whose idle workers are no buffer cost.
+    :param min_healthy_by_pool: largest ``min_healthy`` of the pool's services.
+    :param importance_by_pool: 1 plus the number of pools that depend on the pool,
+        because a shortage in a dependency also affects its dependents.
+    :param spare_pools: pools whose idle workers do not count as buffer cost.
     """
 
     counts: dict[str, dict[str, int]]
@@ -103,27 +107,30 @@
 
     @functools.cached_property
     def sizes_by_pool(self) -> dict[str, int]:
-        """Workers of each pool at present."""
+        """Present number of workers of each pool."""
         return {pool: sum(zones.values()) for pool, zones in self.counts.items()}
 
     @functools.cached_property
     def fleet_size(self) -> int:
-        """Workers of all pools, at least 1."""
+        """Number of workers of all pools, at least 1."""
         return max(1, sum(self.sizes_by_pool.values()))
 
     @functools.cached_property
     def best_wave_cache(self) -> dict[tuple[str, int, int], tuple[float, int]]:
-        """Memo of :func:`best_wave` by pool, size and wave limit."""
+        """Cache of :func:`find_best_wave` by pool, size and wave limit."""
         return {}
 
     @property
     def move_cost(self) -> float:
-        """Cost of one move."""
+        """Cost of moving one worker to another pool."""
         return self.weights.moves * MOVE_COST_FACTOR / self.fleet_size
 
 
 def build_problem(configuration: Configuration, fleet: Fleet) -> SizingProblem:
-    """Collect the input of the size decision."""
+    """Build the input of the pool size decision.
+
+    An instance that is being moved counts for its target pool.
+    """
     zones = list(configuration.regions_by_zone)
     counts = {pool: dict.fromkeys(zones, 0) for pool in configuration.pools_by_name}
     for instance in fleet.instances_by_name.values():
@@ -131,11 +138,11 @@
         declared = instance.name in configuration.workers_by_name
         if declared and pool in counts:
             counts[pool][instance.zone] += 1
-    needed = find_dependency_pools(configuration)
-    dependents = dict.fromkeys(counts, 1.0)
-    for others in needed.values():
+    dependencies_by_pool = find_dependency_pools(configuration)
+    importance_by_pool = dict.fromkeys(counts, 1.0)
+    for others in dependencies_by_pool.values():
         for other in others:
-            dependents[other] += 1
+            importance_by_pool[other] += 1
     return SizingProblem(
         counts={
             pool: {zone: n for zone, n in by_zone.items() if n}
@@ -143,7 +150,7 @@
         },
         demands_by_pool=compute_pool_demands(configuration, fleet.usage_by_queue),
         min_healthy_by_pool=min_healthy_by_pool(configuration),
-        importance_by_pool=dependents,
+        importance_by_pool=importance_by_pool,
         spare_pools=frozenset(
             pool.name for pool in configuration.pools_by_name.values() if pool.spare
         ),
@@ -165,47 +172,50 @@
 ) -> float:
     """Return the cost of one pool, without moves.
 
-    :param total: its workers.
-    :param wave: how many of them are out at once during maintenance.
+    :param total: number of its workers.
+    :param wave: number of workers out at once during maintenance.
     """
-    weights, need = problem.weights, problem.demands_by_pool[pool]
-    idle = 0.0 if pool in problem.spare_pools else max(0.0, total - need.mean_workers)
-    # Relative to one worker at a time, so that pools of any size compare.
+    weights, demand = problem.weights, problem.demands_by_pool[pool]
+    idle = 0.0 if pool in problem.spare_pools else max(0.0, total - demand.mean_workers)
+    # Relative to waves of one worker, so that pools of different size compare.
     size = max(1, problem.sizes_by_pool[pool])
-    rounds = math.ceil(total / wave) / size if wave else 2.0
-    short = (
-        max(0.0, need.burst_workers - (total - wave)) / need.burst_workers
-        if need.burst_workers
+    relative_rounds = math.ceil(total / wave) / size if wave else 2.0
+    shortage = (
+        max(0.0, demand.burst_workers - (total - wave)) / demand.burst_workers
+        if demand.burst_workers
         else 0.0
     )
     pools = len(problem.counts)
     return (
         weights.buffer_cost * idle / problem.fleet_size
-        + weights.rollout_time * rounds / pools
-        + weights.share * short * problem.importance_by_pool[pool] / pools
+        + weights.rollout_time * relative_rounds / pools
+        + weights.share * shortage * problem.importance_by_pool[pool] / pools
     )
 
 
 def find_best_wave(
     problem: SizingProblem, pool: str, counts_by_zone: dict[str, int]
 ) -> tuple[float, int]:
-    """Return the lowest cost of a pool of these workers and its wave size."""
+    """Return the lowest cost of a pool with these workers, and the wave size for it.
+
+    :returns: cost and wave size; 0 if no worker may be out.
+    """
     counts = tuple(sorted(filter(None, counts_by_zone.values())))
     limit = compute_wave_limit(counts, problem.min_healthy_by_pool[pool])
     key = (pool, sum(counts), limit)
-    known = problem.best_wave_cache.get(key)
-    if known is None:
-        known = problem.best_wave_cache[key] = min(
+    cached = problem.best_wave_cache.get(key)
+    if cached is None:
+        cached = problem.best_wave_cache[key] = min(
             (compute_pool_cost(problem, pool, sum(counts), wave), wave)
             for wave in (range(1, limit + 1) if limit else (0,))
         )
-    return known
+    return cached
 
 
 def compute_cost(
     problem: SizingProblem, counts: dict[str, dict[str, int]], waves: dict[str, int]
 ) -> float:
-    """Return the weighted cost of a decision."""
+    """Return the weighted cost of pool sizes and wave sizes, including moves."""
     cost, moves = 0.0, 0
     for pool, zones in counts.items():
         before = problem.counts[pool]
--- a/src/cranberrywheel/process/fleet_model.py
+++ b/src/cranberrywheel/process/fleet_model.py
@@ -1,7 +1,7 @@
-"""Data of the planner's decisions: instances, usage, pool records and plans.
+"""Data model of the planner: instances, usage, pool records and plans.
 
 Times in records are wall-clock milliseconds since 1970. They order events that
-are minutes or days apart; no lease or fence depends on them.
+are minutes or days apart; no lease or fencing token depends on them.
 """
 
 import dataclasses
@@ -25,9 +25,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InstanceAssignment:
-    """One instance of a ``pools/<zone>`` record.
+    """Pool and state of one instance in a ``pools/<zone>`` record.
 
-    :param target_pool: pool that a recorded move leads to, or ``""``.
+    :param target_pool: destination of a recorded move to another pool, or ``""``.
     :param since_ms: when the state began.
     """
 
@@ -41,9 +41,9 @@
 class ZonePoolsRecord:
     """Body of a ``pools/<zone>`` record.
 
-    :param fence: fencing number of the planner that wrote it.
-    :param maintained_ms_by_name: end of the last maintenance; an absent instance
-        was not maintained since it became known.
+    :param fence: fencing token of the planner that wrote it.
+    :param maintained_ms_by_name: end of the last maintenance; an instance without
+        an entry has not been maintained since it was added.
     """
 
     fence: int
@@ -53,16 +53,16 @@
     def replace_assignment(
         self, name: str, assignment: InstanceAssignment
     ) -> "ZonePoolsRecord":
-        """Return a copy in which one instance has another row."""
+        """Return a copy in which one instance has another assignment."""
         assignments = {**self.assignments_by_name, name: assignment}
         return dataclasses.replace(self, assignments_by_name=assignments)
 
 
 def parse_zone_pools(body: t.Mapping[str, t.Any]) -> ZonePoolsRecord:
-    """Read the body of a ``pools/<zone>`` record.
+    """Parse the body of a ``pools/<zone>`` record.
 
     :param body: the decoded JSON body.
-    :raises StoreError: if it has another form.
+    :raises StoreError: if a field is missing or has the wrong type.
     """
     try:
         assignments = {
@@ -77,7 +77,7 @@
         )
     except (AttributeError, KeyError, TypeError, ValueError) as error:
         raise StoreError(
-            f"A record of pools cannot be read: {error!r}.", "Delete or correct it."
+            f"A pools record cannot be parsed: {error!r}.", "Delete or correct it."
         ) from None
 
 
@@ -110,22 +110,23 @@
 def add_declared_workers(
     configuration: Configuration,
     zone: str,
-    known: ZonePoolsRecord | None,
+    current: ZonePoolsRecord | None,
     fence: int,
     now_ms: int,
 ) -> ZonePoolsRecord:
-    """Add the declared workers of a zone that its record lacks.
+    """Return the record of a zone with all workers that the configuration declares.
 
-    :param known: the present record, or ``None``; its rows keep their pools.
-    :param fence: fencing number to write.
+    :param current: the stored record, or ``None``; its instances keep their pools.
+    :param fence: fencing token to write.
+    :param now_ms: wall clock; the start time of each added assignment.
     """
-    assignments = dict(known.assignments_by_name) if known else {}
+    assignments = dict(current.assignments_by_name) if current else {}
     for worker in configuration.workers_by_name.values():
         if worker.zone == zone and worker.name not in assignments:
             assignments[worker.name] = InstanceAssignment(
                 pool=worker.pool, since_ms=now_ms
             )
-    maintained = dict(known.maintained_ms_by_name) if known else {}
+    maintained = dict(current.maintained_ms_by_name) if current else {}
     return ZonePoolsRecord(
         fence=fence, assignments_by_name=assignments, maintained_ms_by_name=maintained
     )
@@ -133,11 +134,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WorkerReport:
-    """What a worker said about itself.
+    """Status that a worker reported.
 
-    :param running: tasks that run now.
+    :param running: number of running tasks.
     :param drain_ms: longest remaining time of a task that cannot be checkpointed.
-    :param fails_everything: its recent tasks all failed.
+    :param fails_everything: whether all of its recent tasks failed.
     :param reachable: whether it answered.
     """
 
@@ -149,12 +150,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class QueueUsage:
-    """Learned use of one queue.
+    """Measured resource usage of one queue.
 
-    :param busy: mean number of requests running at once, over the whole fleet.
-    :param cores: cores that one request takes.
-    :param memory_mb: memory that one request takes.
-    :param age_ms: lag of the report.
+    :param busy: mean number of concurrently running requests in the whole fleet.
+    :param cores: cores that one request uses.
+    :param memory_mb: memory that one request uses.
+    :param age_ms: age of the report.
     """
 
     busy: float
@@ -165,9 +166,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FleetInstance:
-    """One instance as the decisions see it.
+    """State of one instance, as input of a decision.
 
-    :param live: in the instance list and not leaving.
+    :param live: whether it is in the instance list and not leaving.
     :param maintained_ms: end of the last maintenance, or 0.
     """
 
@@ -181,16 +182,17 @@
 
     @property
     def pool(self) -> str:
-        """Pool that the instance is in."""
+        """Pool that the instance belongs to at present."""
         return self.assignment.pool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Fleet:
-    """Everything a decision depends on besides the configuration.
+    """Input of a decision besides the configuration.
 
-    :param out_by_service: instances out on purpose, from ``disruptions``.
-    :param list_age_ms: lag of the instance list.
+    :param out_by_service: instances taken out of service deliberately, from the
+        record ``disruptions``.
+    :param list_age_ms: age of the instance list.
     """
 
     now_ms: int
@@ -203,23 +205,28 @@
 def build_fleet(
     configuration: Configuration,
     pools_by_zone: t.Mapping[str, ZonePoolsRecord],
-    listed: InstanceList,
+    instance_list: InstanceList,
     now_ms: int,
     reports_by_name: t.Mapping[str, WorkerReport] | None = None,
     usage_by_queue: dict[str, QueueUsage] | None = None,
     out_by_service: dict[str, tuple[str, ...]] | None = None,
 ) -> Fleet:
-    """Join the records, the instance list and the workers' reports.
+    """Combine the pool records, the instance list and the workers' reports.
 
-    A zone without a record counts with its declared workers. Racks and zones come
-    from the configuration, and from the instance list for undeclared instances.
+    For a zone without a record, its declared workers are used. Racks come from the
+    configuration, or from the instance list for undeclared instances.
+
+    :param instance_list: the platform's instance list.
+    :param now_ms: wall clock.
     """
-    listed_by_name = {i.instance_id: i for i in listed.instances if i.kind == "worker"}
+    listed_by_name = {
+        i.instance_id: i for i in instance_list.instances if i.kind == "worker"
+    }
     reports = reports_by_name or {}
     instances = {}
     for zone in configuration.regions_by_zone:
-        known = pools_by_zone.get(zone)
-        pools = known or add_declared_workers(configuration, zone, None, 0, now_ms)
+        current = pools_by_zone.get(zone)
+        pools = current or add_declared_workers(configuration, zone, None, 0, now_ms)
         for name, assignment in pools.assignments_by_name.items():
             listing = listed_by_name.get(name)
             declared = configuration.workers_by_name.get(name)
@@ -238,12 +245,12 @@
         instances_by_name=instances,
         usage_by_queue=usage_by_queue or {},
         out_by_service=out_by_service or {},
-        list_age_ms=listed.age_ms,
+        list_age_ms=instance_list.age_ms,
     )
 
 
 def group_services_by_pool(configuration: Configuration) -> dict[str, list[str]]:
-    """Return the names of the services of each pool."""
+    """Return the names of the services by pool."""
     names: dict[str, list[str]] = {pool: [] for pool in configuration.pools_by_name}
     for service in configuration.services_by_name.values():
         names[service.pool].append(service.name)
@@ -251,31 +258,32 @@
 
 
 def find_dependency_pools(configuration: Configuration) -> dict[str, frozenset[str]]:
-    """Return, for each pool, the other pools that its services need, transitively."""
+    """Return the pools that the services of each pool depend on, transitively."""
     services = configuration.services_by_name
-    needed: dict[str, frozenset[str]] = {}
+    dependencies_by_service: dict[str, frozenset[str]] = {}
 
-    def collect(name: str) -> frozenset[str]:
-        if name not in needed:
+    def collect_dependencies(name: str) -> frozenset[str]:
+        if name not in dependencies_by_service:
             found: set[str] = set()
             for other in services[name].depends_on:
-                found |= {services[other].pool} | collect(other)
-            needed[name] = frozenset(found)
-        return needed[name]
+                found |= {services[other].pool} | collect_dependencies(other)
+            dependencies_by_service[name] = frozenset(found)
+        return dependencies_by_service[name]
 
     pools = {}
     for pool, names in group_services_by_pool(configuration).items():
-        pools[pool] = frozenset().union(*map(collect, names)) - {pool}
+        pools[pool] = frozenset().union(*map(collect_dependencies, names)) - {pool}
     return pools
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Sizing:
-    """Decided sizes.
+    """Decided pool sizes and wave sizes.
 
     :param counts: workers by pool, then by zone.
-    :param wave_sizes_by_pool: most instances of a pool out at once.
-    :param cost: weighted cost; see ``capacity.cost_of``.
+    :param wave_sizes_by_pool: largest number of instances of a pool that may be out
+        of service at once.
+    :param cost: weighted cost; see :func:`capacity.compute_cost`.
     """
 
     counts: dict[str, dict[str, int]]
@@ -285,16 +293,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Plan:
-    """One round of decisions; ``to_json`` is what operators see.
+    """Decisions of one planning round; ``to_json`` gives the form shown to operators.
 
-    :param wave: instances out for maintenance now, with their states.
-    :param take: instances to drain next, with the target pool or ``""``.
+    :param wave: instances out of service at present, with their states.
+    :param take: instances to drain next, with the target pool, or ``""`` for
+        maintenance in the present pool.
     :param quarantine: instances to quarantine.
     :param repair: quarantined instances to reboot.
     :param recall: instances to return to service without maintenance.
     :param drop: instances to remove from the record.
-    :param waits_by_name: why each instance that is due waits.
-    :param risks: pools that lack workers for a domain loss or for maintenance.
+    :param waits_by_name: reason for postponing each instance that needs action.
+    :param risks: pools that cannot tolerate the loss of a failure domain, or from
+        which no worker can be taken for maintenance.
     """
 
     sizing: Sizing
