--- a/src/cranberrywheel/process/budget.py
+++ b/src/cranberrywheel/process/budget.py
@@ -1,4 +1,4 @@
-"""Availability budgets: which instances may be out after the loss of any domain."""
+"""Availability budgets: how many instances may be out so that any domain can fail."""
 
 import collections
 import typing as t
@@ -12,18 +12,18 @@
 )
 from cranberrywheel.version.configuration import Configuration
 
-#: A worker that boots a faulty image usually fails within its first minutes. Until
-#: then it counts as out, like the rest of its wave.
-SETTLE_MS = 5 * 60_000
+#: A worker that boots a faulty image usually fails within its first minutes. For
+#: this time after maintenance it counts as out, like the rest of its wave.
+STABILIZATION_MS = 5 * 60_000
 
 
-def is_settling(instance: FleetInstance, now_ms: int) -> bool:
-    """Tell whether an instance returned from maintenance a short time ago."""
-    return 0 <= now_ms - instance.maintained_ms < SETTLE_MS
+def is_stabilizing(instance: FleetInstance, now_ms: int) -> bool:
+    """Tell whether an instance returned from maintenance within the last 5 minutes."""
+    return 0 <= now_ms - instance.maintained_ms < STABILIZATION_MS
 
 
 def is_healthy(instance: FleetInstance) -> bool:
-    """Tell whether an instance can take work now."""
+    """Tell whether an instance can accept work now."""
     return (
         instance.live
         and instance.report.reachable
@@ -36,7 +36,10 @@
 
 
 class _PoolBudget:
-    """Healthy and declared members of one pool per failure domain."""
+    """All members and healthy members of one pool, in total and per failure domain.
+
+    :param min_healthy: members that must stay healthy.
+    """
 
     def __init__(self, min_healthy: int) -> None:
         self.min_healthy = min_healthy
@@ -45,13 +48,16 @@
         self.members_by_domain: collections.Counter[str] = collections.Counter()
         self.healthy_by_domain: collections.Counter[str] = collections.Counter()
         #: One member of each combination of domains.
-        self._samples: dict[tuple[str, str], FleetInstance] = {}
+        self._samples_by_domains: dict[tuple[str, str], FleetInstance] = {}
 
     def add(self, instance: FleetInstance, healthy: bool) -> None:
-        """Count one member."""
+        """Add one member.
+
+        :param healthy: whether it counts as healthy.
+        """
         self.members += 1
         self.members_by_domain.update(_domains(instance))
-        self._samples[_domains(instance)] = instance
+        self._samples_by_domains[_domains(instance)] = instance
         if healthy:
             self.healthy += 1
             self.healthy_by_domain.update(_domains(instance))
@@ -66,59 +72,67 @@
         self.healthy += 1
         self.healthy_by_domain.update(_domains(instance))
 
-    def floor_without(self, members: int) -> int:
-        """Return how many must stay when this many members are left of the fleet.
+    def required_after_loss(self, members: int) -> int:
+        """Return how many healthy members must remain after the loss of some members.
 
-        Where the fleet cannot keep the budget through the loss, the floor is what
-        the loss leaves without maintenance.
+        This is ``min_healthy``, or all remaining members if the pool is too small to
+        keep ``min_healthy`` through the loss even without maintenance.
+
+        :param members: number of members that the loss takes.
         """
         return min(self.min_healthy, self.members - members)
 
     def shortfall(self) -> str:
-        """Return the first floor that is not kept, or ``""``."""
+        """Return the first violated minimum as text, or ``""``."""
         if self.healthy < min(self.min_healthy, self.members):
             return f"{self.healthy} of {self.min_healthy} healthy"
-        if self.healthy - 1 < self.floor_without(1):
+        if self.healthy - 1 < self.required_after_loss(1):
             return (
                 f"loss of one worker would leave {self.healthy - 1} "
                 f"of {self.min_healthy}"
             )
         for domain, members in self.members_by_domain.items():
             left = self.healthy - self.healthy_by_domain[domain]
-            if left < self.floor_without(members):
+            if left < self.required_after_loss(members):
                 return f"loss of {domain} would leave {left} of {self.min_healthy}"
         return ""
 
-    def risks(self) -> list[str]:
-        """Return what the declared workers cannot keep, even if all are healthy."""
-        found = [
+    def find_risks(self) -> list[str]:
+        """Return the losses that the pool cannot tolerate even if all are healthy.
+
+        One more entry says that no member can be taken out for maintenance.
+        """
+        risks = [
             f"loss of {domain} leaves {self.members - members} of {self.min_healthy}"
             for domain, members in self.members_by_domain.items()
             if self.members - members < self.min_healthy
         ]
         if self.members and not self._can_maintain():
-            found.append(f"no worker can be spared with {self.min_healthy} to keep")
-        return found
+            risks.append(
+                f"no worker can be taken out while {self.min_healthy} must stay healthy"
+            )
+        return risks
 
     def _can_maintain(self) -> bool:
-        """Tell whether any member could be out if all were healthy."""
-        whole = _PoolBudget(self.min_healthy)
-        whole.members = whole.healthy = self.members
-        whole.members_by_domain = self.members_by_domain
-        whole.healthy_by_domain = self.members_by_domain.copy()
-        for instance in self._samples.values():
-            whole.remove(instance)
-            if not whole.shortfall():
+        """Tell whether any member could be taken out if all were healthy."""
+        all_healthy = _PoolBudget(self.min_healthy)
+        all_healthy.members = all_healthy.healthy = self.members
+        all_healthy.members_by_domain = self.members_by_domain
+        all_healthy.healthy_by_domain = self.members_by_domain.copy()
+        for instance in self._samples_by_domains.values():
+            all_healthy.remove(instance)
+            if not all_healthy.shortfall():
                 return True
-            whole.restore(instance)
+            all_healthy.restore(instance)
         return False
 
 
 class AvailabilityBudgets:
-    """Availability budgets of all pools while one plan is made.
+    """Availability budgets of all pools during one planning round.
 
-    An instance out on purpose, settling after maintenance or unhealthy counts as
-    lost, because the rest of a wave may fail as well.
+    An instance counts as lost if it is listed in ``disruptions``, is unhealthy, or
+    returned from maintenance a short time ago, because the rest of its wave may
+    still fail as well.
 
     :param out_names: instances listed in ``disruptions``.
     """
@@ -129,10 +143,10 @@
         fleet: Fleet,
         out_names: t.Collection[str] = (),
     ) -> None:
-        self._needed = find_dependency_pools(configuration)
+        self._dependencies_by_pool = find_dependency_pools(configuration)
         self._budgets = {
-            pool: _PoolBudget(n)
-            for pool, n in min_healthy_by_pool(configuration).items()
+            pool: _PoolBudget(min_healthy)
+            for pool, min_healthy in min_healthy_by_pool(configuration).items()
         }
         out = set(out_names)
         for instance in fleet.instances_by_name.values():
@@ -140,26 +154,26 @@
                 healthy = (
                     is_healthy(instance)
                     and instance.name not in out
-                    and not is_settling(instance, fleet.now_ms)
+                    and not is_stabilizing(instance, fleet.now_ms)
                 )
                 self._budgets[instance.pool].add(instance, healthy)
 
     def shortfall(self, pool: str) -> str:
-        """Return which floor of a pool is not kept, or ``""``."""
+        """Return the first violated minimum of a pool as text, or ``""``."""
         return self._budgets[pool].shortfall()
 
     def dependency_shortfall(self, pool: str) -> str:
-        """Return which floor of a pool's dependencies is not kept, or ``""``."""
-        for other in sorted(self._needed[pool]):
+        """Return the first violated minimum of a pool's dependencies, or ``""``."""
+        for other in sorted(self._dependencies_by_pool[pool]):
             if reason := self._budgets[other].shortfall():
                 return f"dependency {other}: {reason}"
         return ""
 
-    def take(self, instance: FleetInstance) -> str:
-        """Count an instance as out if its pool keeps its floors.
+    def try_take_out(self, instance: FleetInstance) -> str:
+        """Count an instance as out if its pool and the dependencies keep their minimum.
 
         :param instance: an instance that counts as healthy.
-        :returns: ``""``, or why the instance must stay.
+        :returns: ``""``, or the reason why the instance must stay in service.
         """
         if reason := self.dependency_shortfall(instance.pool):
             return reason
@@ -169,18 +183,18 @@
             budget.restore(instance)
         return reason
 
-    def lose(self, instance: FleetInstance) -> None:
-        """Count an instance as out without a check."""
+    def mark_out(self, instance: FleetInstance) -> None:
+        """Count an instance as out without checking the budget."""
         self._budgets[instance.pool].remove(instance)
 
     def return_to_service(self, instance: FleetInstance) -> None:
         """Count an instance as healthy again."""
         self._budgets[instance.pool].restore(instance)
 
-    def risks(self) -> tuple[str, ...]:
-        """Return which pools lack workers for a domain loss or for maintenance."""
+    def find_risks(self) -> tuple[str, ...]:
+        """Return the pools that lack workers for a domain loss or for maintenance."""
         return tuple(
             f"pool {pool}: {risk}"
             for pool, budget in self._budgets.items()
-            for risk in budget.risks()
+            for risk in budget.find_risks()
         )
--- a/src/cranberrywheel/process/instance_lifecycle.py
+++ b/src/cranberrywheel/process/instance_lifecycle.py
@@ -1,7 +1,7 @@
 """State machine of one instance: drain, confirm empty, change pool or reboot, admit.
 
-Each function is pure. The planner writes the new row by compare-and-swap before it
-acts at the platform, so that any later planner can finish a recorded step.
+Each function is pure. The planner writes the new assignment by compare-and-swap
+before it calls the platform, so that any later planner can finish a recorded step.
 """
 
 import collections
@@ -20,7 +20,7 @@
 
 
 class PlatformAction(enum.StrEnum):
-    """What the platform is asked to do with an instance."""
+    """Action that the planner requests from the platform."""
 
     DRAIN = "drain"
     UNDRAIN = "undrain"
@@ -28,10 +28,10 @@
 
 
 def get_platform_action(state: InstanceState) -> PlatformAction:
-    """Return the platform's action that makes a recorded state true.
+    """Return the platform action that establishes a recorded state.
 
-    Repeating it does no harm; a second reboot costs only time, because the instance
-    is empty.
+    The action is safe to repeat: a second reboot only costs time, because the
+    instance is empty.
     """
     if state is InstanceState.SERVING:
         return PlatformAction.UNDRAIN
@@ -43,7 +43,10 @@
 def begin_drain(
     assignment: InstanceAssignment, target_pool: str, now_ms: int
 ) -> InstanceAssignment:
-    """Start maintenance, or a move if ``target_pool`` is not empty."""
+    """Return the assignment that starts a drain.
+
+    :param target_pool: pool to move to, or ``""`` for maintenance.
+    """
     return dataclasses.replace(
         assignment,
         state=InstanceState.DRAINING,
@@ -53,19 +56,19 @@
 
 
 def recall(assignment: InstanceAssignment, now_ms: int) -> InstanceAssignment:
-    """Return a drained instance to its present pool."""
+    """Return the assignment that puts a drained instance back into its present pool."""
     return InstanceAssignment(pool=assignment.pool, since_ms=now_ms)
 
 
 def quarantine(assignment: InstanceAssignment, now_ms: int) -> InstanceAssignment:
-    """Take a worker that fails everything out of its pool's service."""
+    """Return the assignment that takes a worker out because its tasks all failed."""
     return InstanceAssignment(
         pool=assignment.pool, state=InstanceState.QUARANTINED, since_ms=now_ms
     )
 
 
 def begin_repair(assignment: InstanceAssignment, now_ms: int) -> InstanceAssignment:
-    """Reboot a quarantined instance."""
+    """Return the assignment that reboots a quarantined instance."""
     return InstanceAssignment(
         pool=assignment.pool, state=InstanceState.REBOOTING, since_ms=now_ms
     )
@@ -78,17 +81,17 @@
     due: bool,
     now_ms: int,
 ) -> InstanceAssignment | None:
-    """Return the next row of an instance that is out, or ``None`` to wait.
+    """Return the next assignment of an instance that is out, or ``None`` to wait.
 
-    :param report: the worker's answer, asked for after the state began.
-    :param rebooted: whether the worker was silent since the platform was asked to
-        reboot it, or had the time for a reboot. A worker that answers may otherwise
-        not have been stopped yet.
+    :param report: the worker's report, requested after the state began.
+    :param rebooted: whether the worker did not answer at some time since the reboot
+        was requested, or the reboot time has passed. Otherwise a worker that answers
+        may not have been stopped yet.
     :param due: whether maintenance is due; a move then includes the reboot, which
         saves a second drain.
     """
     if assignment.state is InstanceState.DRAINING:
-        # Only the worker's own answer shows that no task runs.
+        # Only the worker's own report proves that no task is running.
         if report.reachable and report.running == 0:
             return dataclasses.replace(
                 assignment, state=InstanceState.EMPTY, since_ms=now_ms
@@ -108,33 +111,36 @@
 
 
 def choose_transfers(
-    fleet: Fleet, sizing: Sizing, free: t.Iterable[FleetInstance]
+    fleet: Fleet, sizing: Sizing, available: t.Iterable[FleetInstance]
 ) -> list[tuple[FleetInstance, str]]:
-    """Choose instances whose move brings pools closer to their decided sizes.
+    """Choose instances to move so that pools get closer to their decided sizes.
 
-    Instances whose work ends soonest go first; moves already recorded count.
+    Instances that drain soonest are chosen first. Moves already recorded count as
+    made.
 
-    :param free: instances that may be taken.
-    :returns: pairs of instance and target pool, within each zone.
+    :param available: instances that may be taken out of service.
+    :returns: pairs of instance and target pool, within the same zone.
     """
-    present: collections.Counter[tuple[str, str]] = collections.Counter(
+    current_counts: collections.Counter[tuple[str, str]] = collections.Counter(
         (i.assignment.target_pool or i.pool, i.zone)
         for i in fleet.instances_by_name.values()
     )
-    wanted = {
+    decided_counts = {
         (pool, zone): count
         for pool, zones in sizing.counts.items()
         for zone, count in zones.items()
     }
-    lacking: dict[str, list[str]] = {}
-    for (pool, zone), count in sorted(wanted.items()):
-        lack = count - present[pool, zone]
-        lacking.setdefault(zone, []).extend([pool] * max(0, lack))
-    surplus = {key: n - wanted.get(key, 0) for key, n in present.items()}
+    pools_short_by_zone: dict[str, list[str]] = {}
+    for (pool, zone), count in sorted(decided_counts.items()):
+        shortage = count - current_counts[pool, zone]
+        pools_short_by_zone.setdefault(zone, []).extend([pool] * max(0, shortage))
+    surplus = {
+        key: count - decided_counts.get(key, 0) for key, count in current_counts.items()
+    }
     chosen = []
-    for instance in sorted(free, key=lambda i: (i.report.drain_ms, i.name)):
+    for instance in sorted(available, key=lambda i: (i.report.drain_ms, i.name)):
         key = (instance.pool, instance.zone)
-        if surplus.get(key, 0) > 0 and lacking.get(instance.zone):
-            chosen.append((instance, lacking[instance.zone].pop(0)))
+        if surplus.get(key, 0) > 0 and pools_short_by_zone.get(instance.zone):
+            chosen.append((instance, pools_short_by_zone[instance.zone].pop(0)))
             surplus[key] -= 1
     return chosen
--- a/tests/test_waves.py
+++ b/tests/test_waves.py
@@ -62,7 +62,9 @@
         # Guards against a pool that silently never gets its maintenance.
         config = configuration(healthy=2)
         result = plan(config, fleet(config))
-        self.assertIn("pool a: no worker can be spared with 2 to keep", result.risks)
+        self.assertIn(
+            "pool a: no worker can be taken out while 2 must stay healthy", result.risks
+        )
         self.assertEqual((), plan(configuration(), fleet(configuration())).risks)
 
     def test_returned_instances_count_as_at_risk_until_they_settle(self):
@@ -89,7 +91,7 @@
         reports = {"a1": WorkerReport(running=1, drain_ms=5 * 3_600_000)}
         result = plan(config, fleet(config, reports=reports))
         self.assertNotIn("a1", result.take)
-        self.assertIn("work runs for up to 300 more min", result.waits_by_name["a1"])
+        self.assertIn("tasks run for up to 300 more min", result.waits_by_name["a1"])
         self.assertNotEqual([], taken(result))
 
     def test_moves_leave_overnight_jobs_alone(self):
@@ -112,7 +114,9 @@
         self.assertEqual(2, len(result.quarantine))
         waiting = set(reports) - set(result.quarantine)
         for name in waiting:
-            self.assertIn("fails everything, but", result.waits_by_name[name])
+            self.assertIn(
+                "all recent tasks failed, not quarantined: ", result.waits_by_name[name]
+            )
 
     def test_quarantined_worker_joins_the_next_wave_once(self):
         # Guards against a worker that stays out, and against a reboot loop.
@@ -139,8 +143,8 @@
         out = {"a": ("a3", "a4")}
         built = fleet(config, out_by_service=out)
         self.assertEqual([], taken(plan(config, built)))
-        ledger = AvailabilityBudgets(config, built, out["a"])
-        self.assertNotEqual("", ledger.take(built.instances_by_name["a1"]))
+        budgets = AvailabilityBudgets(config, built, out["a"])
+        self.assertNotEqual("", budgets.try_take_out(built.instances_by_name["a1"]))
 
     def test_preview_is_json_ready_with_and_without_records(self):
         config = configuration()
@@ -157,9 +161,9 @@
         # Guards the invariant itself over all orders of taking.
         config = configuration(healthy=1)
         built = fleet(config)
-        ledger = AvailabilityBudgets(config, built)
+        budgets = AvailabilityBudgets(config, built)
         instances = built.instances_by_name.values()
-        kept = [i for i in instances if ledger.take(i)]
+        kept = [i for i in instances if budgets.try_take_out(i)]
         for zone in ("x", "y"):
             left = [i for i in kept if i.pool == "a" and i.zone != zone]
             self.assertGreaterEqual(len(left), 1)
