--- a/tests/planner_fixtures.py
+++ b/tests/planner_fixtures.py
@@ -1,4 +1,4 @@
-"""Fleets that the planner's tests share."""
+"""Configurations, fleets and fakes shared by the tests of the planner."""
 
 import dataclasses
 import json
@@ -22,11 +22,11 @@
 FOUR_WORKERS = ("a1@x/r1", "a2@x/r1", "a3@y/r2", "a4@y/r2")
 
 
-def configuration(workers=FOUR_WORKERS, healthy=1):
-    return parse_configuration(text(workers, healthy))
+def make_configuration(workers=FOUR_WORKERS, healthy=1):
+    return parse_configuration(make_configuration_text(workers, healthy))
 
 
-def text(workers=FOUR_WORKERS, healthy=1):
+def make_configuration_text(workers=FOUR_WORKERS, healthy=1):
     return f"""
 [deployment]
 name = d
@@ -59,7 +59,7 @@
 """
 
 
-def listing(configuration, missing=(), addresses=None, age_ms=0):
+def make_instance_list(configuration, missing=(), addresses=None, age_ms=0):
     rows = tuple(
         Instance(
             w.name, "worker", w.zone, w.rack, (addresses or {}).get(w.name, ""),
@@ -71,21 +71,21 @@
     return InstanceList(1, age_ms, rows)
 
 
-def fleet(configuration, missing=(), reports=None, rows=None, **fields):
-    built = build_fleet(
-        configuration, {}, listing(configuration, missing), NOW_MS, reports
+def make_fleet(configuration, missing=(), reports=None, assignments=None, **fields):
+    fleet = build_fleet(
+        configuration, {}, make_instance_list(configuration, missing), NOW_MS, reports
     )
-    instances = dict(built.instances_by_name)
-    for name, row in (rows or {}).items():
-        instances[name] = dataclasses.replace(instances[name], assignment=row)
-    return dataclasses.replace(built, instances_by_name=instances, **fields)
+    instances = dict(fleet.instances_by_name)
+    for name, assignment in (assignments or {}).items():
+        instances[name] = dataclasses.replace(instances[name], assignment=assignment)
+    return dataclasses.replace(fleet, instances_by_name=instances, **fields)
 
 
-class FakeClient:
+class FakeStoreClient:
     """In-process :class:`StoreClient` over the platform stand-in.
 
-    :param before_put: called with the key before each write, to let time pass or
-        another planner act.
+    :param before_put: called with the key before each write, so that a test can
+        advance the clock or run another planner.
     """
 
     def __init__(self, platform):
@@ -155,8 +155,8 @@
         return accepted
 
 
-class FakeWorkers:
-    """Tasks that each worker lists; ``None`` for one that is silent."""
+class FakeWorkerClient:
+    """Worker client with preset tasks by worker; ``None`` if it does not answer."""
 
     def __init__(self):
         self.tasks_by_name = {}
@@ -170,12 +170,12 @@
 
 
 class Deployment:
-    """A platform with a configuration, its workers and a manual clock."""
+    """Platform stand-in with a configuration, its workers and a manual clock."""
 
     def __init__(self, configuration_text):
         self.clock = ManualClock(1_000)
         self.platform = Platform(lambda: self.clock.now_ms() / 1000)
-        self.workers = FakeWorkers()
+        self.workers = FakeWorkerClient()
         self.configuration = parse_configuration(configuration_text)
         self.apply(configuration_text)
         for worker in self.configuration.workers_by_name.values():
@@ -185,7 +185,7 @@
             )
 
     def apply(self, configuration_text):
-        """Write the record ``configuration``."""
+        """Write a configuration text to the record ``configuration``."""
         present = self.platform.get("configuration")
         revision = present.revision if present else 0
         body = {"text_version": revision + 1, "text": configuration_text}
@@ -194,21 +194,21 @@
         self.platform.put("configuration", value, revision, "")
 
     def planner(self, zone="x", instance="p1"):
-        """Return a planner and its client."""
+        """Create a planner and its store client."""
         settings = PlannerSettings(
             instance=instance, zone=zone, platform=PlatformSettings(url="http://x")
         )
-        client = FakeClient(self.platform)
+        client = FakeStoreClient(self.platform)
         now_wall_ms = lambda: NOW_MS + self.clock.now_ms()
         return Planner(settings, client, self.workers, self.clock, now_wall_ms), client
 
     def body(self, key):
-        """Return the body of a record, or ``{}``."""
+        """Return the body of a record, or ``{}`` if there is none."""
         entry = self.platform.get(key)
         return json.loads(entry.value)["body"] if entry else {}
 
     def states(self, zone="x"):
-        """Return pool and state of the instances of a zone that are out."""
+        """Return pool and state by name of the zone's instances that do not serve."""
         rows = self.body(f"pools/{zone}").get("instances", {})
         return {
             name: (row["pool"], row["state"])
@@ -217,12 +217,15 @@
         }
 
     def out(self):
-        """Return all instances in ``disruptions``."""
+        """Return the names of all instances in the record ``disruptions``."""
         services = self.body("disruptions").get("out", {})
         return {name for names in services.values() for name in names}
 
     def rounds(self, planner, count, step_ms=2_000):
-        """Run some rounds."""
+        """Run planning rounds.
+
+        :param step_ms: time to advance the clock after each round.
+        """
         for _ in range(count):
             planner.run_once()
             self.clock.advance(step_ms)
