--- a/src/cranberrywheel/process/disruptions.py
+++ b/src/cranberrywheel/process/disruptions.py
@@ -1,4 +1,4 @@
-"""The store record ``disruptions``: instances out on purpose, per service."""
+"""Store record ``disruptions``: instances taken out deliberately, by service."""
 
 import typing as t
 
@@ -7,24 +7,24 @@
 from cranberrywheel.version.configuration import Configuration
 from cranberrywheel.version.records import StoredRecord
 
-KEY = "disruptions"
+DISRUPTIONS_KEY = "disruptions"
 
 
 class Disruptions:
-    """Reads and changes the record by compare-and-swap."""
+    """Reads the record and changes it by compare-and-swap."""
 
     def __init__(self, records: RecordStore) -> None:
         self._records = records
         self._stored: StoredRecord | None = None
 
     def read(self) -> dict[str, tuple[str, ...]]:
-        """Read which instances are out, per service.
+        """Read the names of the instances that are out, by service.
 
-        A plan reads this before the pools of other zones: an instance leaves the
-        list after its pool record shows it in service, so it is never missing from
-        both.
+        A plan must read this record before the pools of other zones. An instance is
+        removed from this record only after its pools record shows it in service, so
+        in this order at least one of the two shows an instance that is out.
         """
-        self._stored = self._records.read(KEY)
+        self._stored = self._records.read(DISRUPTIONS_KEY)
         out = self._stored.body["out"] if self._stored else {}
         return {service: tuple(names) for service, names in out.items()}
 
@@ -34,23 +34,29 @@
         out_pools_by_name: t.Mapping[str, str],
         removed: t.Collection[str] = (),
     ) -> None:
-        """Write which instances are out, against the version last read.
+        """Write changes to the version of the record that was last read.
 
-        :param out_pools_by_name: instances to list under the services of their pool,
-            and under no other.
-        :param removed: instances to list nowhere unless they are out.
-        :raises StoreConflictError: another planner changed the record; the plan
-            that led to this change no longer holds.
+        :param out_pools_by_name: instances to list under the services of the given
+            pool, and under no other service.
+        :param removed: instances to remove unless ``out_pools_by_name`` lists them.
+        :raises StoreConflictError: if another planner changed the record; the plan
+            behind this change is then no longer valid.
         """
         present = self._stored.body["out"] if self._stored else {}
         out = {
-            service: {n for n in names if n not in {*removed, *out_pools_by_name}}
+            service: {
+                name for name in names if name not in {*removed, *out_pools_by_name}
+            }
             for service, names in present.items()
         }
         names_by_pool = group_services_by_pool(configuration)
         for name, pool in out_pools_by_name.items():
             for service in names_by_pool.get(pool, ()):
                 out.setdefault(service, set()).add(name)
-        listed = {service: sorted(names) for service, names in out.items() if names}
-        if listed != present:
-            self._stored = self._records.write(KEY, {"out": listed}, self._stored)
+        names_by_service = {
+            service: sorted(names) for service, names in out.items() if names
+        }
+        if names_by_service != present:
+            self._stored = self._records.write(
+                DISRUPTIONS_KEY, {"out": names_by_service}, self._stored
+            )
--- a/src/cranberrywheel/process/planner.py
+++ b/src/cranberrywheel/process/planner.py
@@ -1,8 +1,8 @@
-"""The running planner of one availability zone.
+"""Planner process of one availability zone.
 
-A round holds the zone's lease, finishes recorded steps and starts new ones. Each
-step is written to ``pools/<zone>`` before the platform is asked to act, so that the
-next planner can finish it.
+A round renews the zone's lease, finishes recorded steps and starts new ones. Each
+step is written to ``pools/<zone>`` before the platform is called, so that the next
+planner can finish it.
 """
 
 import threading
@@ -49,30 +49,33 @@
 from cranberrywheel.settings import PlannerSettings
 from cranberrywheel.version.configuration import Configuration, parse_configuration
 
-#: A full round reads all pools and the instance list, about 300 bytes a worker. This
-#: interval per worker keeps that under 10 KB a second for any fleet.
+#: Interval between full rounds, per worker. A full round reads all pools and the
+#: instance list, about 300 bytes per worker; this interval keeps the traffic under
+#: 10 KB a second for a fleet of any size.
 PLAN_INTERVAL_PER_WORKER_MS = 40
-#: Sizes follow learned means, which change over hours.
+#: Interval between decisions of pool sizes, which follow measured means that change
+#: over hours.
 SIZING_INTERVAL_MS = 10 * 60_000
-#: The learned means weigh samples as one a minute.
+#: Interval between usage samples; the weights of the measured means assume one
+#: sample a minute.
 SAMPLE_INTERVAL_MS = 60_000
-#: The plan and the learned usage are written at most this often.
+#: Shortest interval between two writes of the plan and the measured usage.
 PUBLISH_INTERVAL_MS = 60_000
 
 _log = PartLogger("planner")
 
 
 def wall_clock_ms() -> int:
-    """Return milliseconds since 1970."""
+    """Return the wall clock in milliseconds since 1970."""
     return time.time_ns() // 1_000_000
 
 
 class Planner:
-    """Plans and acts for one zone; use it from one thread only.
+    """Plans and acts for one zone; not thread-safe.
 
-    :param client: the platform.
-    :param workers: asks workers for their tasks.
-    :param now_wall_ms: wall clock for the times in records.
+    :param client: client of the platform's key-value store and instance control.
+    :param workers: client that requests the tasks of workers.
+    :param now_wall_ms: wall clock for the times in records, in milliseconds.
     """
 
     def __init__(
@@ -97,10 +100,10 @@
         self._usage = UsageBook()
         self._configuration: Configuration | None = None
         self._configuration_version = 0
-        self._listed = InstanceList(0, 0, ())
+        self._instance_list = InstanceList(0, 0, ())
         self._checkpointed: set[tuple[str, str]] = set()
-        #: Rebooting instances that did not answer since the reboot was asked for.
-        self._silent: set[str] = set()
+        #: Rebooting instances that failed to answer since the reboot was requested.
+        self._unresponsive: set[str] = set()
         self._sizing: Sizing | None = None
         self._next_plan_ms = self._next_sizing_ms = 0
         self._next_publish_ms = self._next_sample_ms = 0
@@ -113,7 +116,7 @@
         self.plan: Plan | None = None
 
     def run(self, stop: threading.Event) -> None:
-        """Run rounds until told to stop, then give the lease up."""
+        """Run rounds until ``stop`` is set, then release the lease."""
         while not stop.is_set():
             started_ms = self._clock.now_ms()
             self.run_once()
@@ -122,37 +125,45 @@
         self._lease.release()
 
     def run_once(self) -> None:
-        """Run one round; a failure of the store ends it early."""
+        """Run one round; a store error ends it early."""
         try:
-            if not self._lease.hold():
+            if not self._lease.renew_or_acquire():
                 self.plan = None
                 return
             configuration = self._read_configuration()
             if configuration is None:
                 return
             if self._zone.claim(configuration, self._now_wall_ms()):
-                # Recorded reboots are asked for again, so silence so far says nothing.
-                self._silent.clear()
+                # Recorded reboots are requested again, so earlier failures to answer
+                # do not show that a reboot has happened.
+                self._unresponsive.clear()
             self._zone.confirm()
             self._finish_steps(configuration)
             if self._clock.now_ms() >= self._next_plan_ms:
                 self._start_steps(configuration)
         except StoreUnavailableError as error:
-            _log.warning("store unavailable, planning nothing new", cause=error.message)
+            _log.warning("store unavailable; no new steps", cause=error.message)
             self._finish_without_store()
         except (StoreConflictError, LeaseLostError) as error:
-            _log.event("round ended early", cause=error.message)
+            _log.event("round ended early; retrying next round", cause=error.message)
         except StoreError as error:
-            _log.warning("round failed", cause=error.message, remedy=error.remedy)
+            _log.warning(
+                "round failed; retrying next round",
+                cause=error.message,
+                remedy=error.remedy,
+            )
 
     def _finish_without_store(self) -> None:
-        """Repeat recorded states at the platform while the lease is surely held."""
+        """Repeat unconfirmed actions at the platform while the lease is still valid."""
         if not self._lease.is_valid():
             return
         try:
             self._zone.confirm()
         except (StoreError, LeaseLostError) as error:
-            _log.event("recorded states not confirmed", cause=error.message)
+            _log.event(
+                "platform did not confirm recorded states; retrying next round",
+                cause=error.message,
+            )
 
     def _read_configuration(self) -> Configuration | None:
         stored = self._records.read("configuration")
@@ -163,25 +174,31 @@
                 self._next_plan_ms = self._next_sizing_ms = 0
             except ConfigurationError as error:
                 _log.warning(
-                    "configuration ignored",
+                    "invalid configuration ignored; keeping the previous one",
                     version=stored.revision,
                     cause=error.message,
                 )
         return self._configuration
 
-    def _ask(self, names: t.Iterable[str]) -> dict[str, tuple[TaskRow, ...] | None]:
-        """Ask listed workers for their tasks; the others are absent."""
+    def _request_tasks(
+        self, names: t.Iterable[str]
+    ) -> dict[str, tuple[TaskRow, ...] | None]:
+        """Request the tasks of workers.
+
+        :returns: tasks by name, ``None`` for a worker that did not answer. Workers
+            that the instance list lacks are absent.
+        """
         wanted = set(names)
         return self._workers.tasks(
             {
                 row.instance_id: row.address
-                for row in self._listed.instances
+                for row in self._instance_list.instances
                 if row.instance_id in wanted and row.address
             }
         )
 
     def _finish_steps(self, configuration: Configuration) -> None:
-        """Advance the instances of the zone that are out."""
+        """Advance the instances of the zone that are out of service."""
         out = {
             name: assignment
             for name, assignment in self._zone.pools.assignments_by_name.items()
@@ -191,21 +208,21 @@
         }
         if not out:
             return
-        if not self._listed.instances:
-            self._listed = self._client.instances()
-        tasks_by_name = self._ask(out)
+        if not self._instance_list.instances:
+            self._instance_list = self._client.instances()
+        tasks_by_name = self._request_tasks(out)
         changes = {}
         for name, assignment in out.items():
-            after = self._advance(
+            new_assignment = self._advance(
                 configuration, name, assignment, tasks_by_name.get(name)
             )
-            if after:
-                changes[name] = after
+            if new_assignment:
+                changes[name] = new_assignment
         self._zone.change(changes)
-        self._silent -= changes.keys()
+        self._unresponsive -= changes.keys()
         self._checkpointed = {k for k in self._checkpointed if k[0] not in changes}
         if changes:
-            self._reconcile(configuration)
+            self._update_disruptions(configuration)
 
     def _advance(
         self,
@@ -223,12 +240,13 @@
         if assignment.state is InstanceState.EMPTY and not declared:
             return None
         if assignment.state is InstanceState.DRAINING:
-            self._checkpoint(configuration, name, tasks or ())
+            self._checkpoint_tasks(configuration, name, tasks or ())
         if assignment.state is InstanceState.REBOOTING and tasks is None:
-            self._silent.add(name)
-        asked_ms = self._zone.confirmation_age_ms(name) or 0
+            self._unresponsive.add(name)
+        requested_age_ms = self._zone.confirmation_age_ms(name) or 0
         rebooted = (
-            name in self._silent or asked_ms >= configuration.reboot_minutes * 60_000
+            name in self._unresponsive
+            or requested_age_ms >= configuration.reboot_minutes * 60_000
         )
         now_ms = self._now_wall_ms()
         maintained_ms = self._zone.pools.maintained_ms_by_name.get(name, 0)
@@ -236,10 +254,10 @@
         report = report_of(configuration, tasks)
         return instance_lifecycle.advance(assignment, report, rebooted, due, now_ms)
 
-    def _checkpoint(
+    def _checkpoint_tasks(
         self, configuration: Configuration, name: str, tasks: tuple[TaskRow, ...]
     ) -> None:
-        addresses = {i.instance_id: i.address for i in self._listed.instances}
+        addresses = {i.instance_id: i.address for i in self._instance_list.instances}
         for task in tasks:
             queue = configuration.queues_by_name.get(task.queue)
             key = (name, task.task_id)
@@ -250,25 +268,27 @@
                 and key not in self._checkpointed
             ):
                 self._checkpointed.add(key)
-                _log.event("checkpoint for drain", instance=name, request_id=key[1])
+                _log.event(
+                    "checkpointing task for drain", instance=name, request_id=key[1]
+                )
                 self._workers.checkpoint(addresses[name], task.task_id)
 
-    def _reconcile(
+    def _update_disruptions(
         self, configuration: Configuration, dropped: t.Collection[str] = ()
     ) -> None:
-        """Make ``disruptions`` agree with the zone's record."""
+        """Update the record ``disruptions`` from the zone's pools record."""
         self._disruptions.read()
         assignments = self._zone.pools.assignments_by_name
         out = {
-            n: r.pool
-            for n, r in assignments.items()
-            if r.state != InstanceState.SERVING
+            name: assignment.pool
+            for name, assignment in assignments.items()
+            if assignment.state != InstanceState.SERVING
         }
         self._lease.check()
         self._disruptions.change(configuration, out, removed={*assignments, *dropped})
 
     def _start_steps(self, configuration: Configuration) -> None:
-        """Plan, claim the budget and start the part of the plan in this zone."""
+        """Make a plan, claim its budget in ``disruptions`` and start its steps."""
         fleet = self._read_fleet(configuration)
         now_ms = self._clock.now_ms()
         if self._sizing is None or now_ms >= self._next_sizing_ms:
@@ -292,13 +312,13 @@
         if claimed:
             self._lease.check()
             self._disruptions.change(configuration, claimed)
-        self._zone.change(self._changes_of(plan))
+        self._zone.change(self._build_changes(plan))
         if plan.recall or plan.drop:
-            self._reconcile(configuration, plan.drop)
+            self._update_disruptions(configuration, plan.drop)
         self._publish(fleet.now_ms)
         self._send_metrics(plan)
 
-    def _changes_of(self, plan: Plan) -> dict[str, InstanceAssignment | None]:
+    def _build_changes(self, plan: Plan) -> dict[str, InstanceAssignment | None]:
         assignments = self._zone.pools.assignments_by_name
         now_ms = self._now_wall_ms()
         changes: dict[str, InstanceAssignment | None] = dict.fromkeys(plan.drop)
@@ -322,13 +342,13 @@
             self._metrics.gauge(f"{prefix}.recalled", len(plan.recall))
 
     def _read_fleet(self, configuration: Configuration) -> Fleet:
-        """Read what a plan depends on; see ``Disruptions.read`` for the order."""
-        self._reconcile(configuration)
+        """Read the input of a plan; see ``Disruptions.read`` for the order."""
+        self._update_disruptions(configuration)
         out_by_service = self._disruptions.read()
         stored_by_zone = self._records.read_all("pools/")
         usage = self._records.read_all("usage/")
-        self._listed = self._client.instances()
-        tasks_by_name = self._ask(self._zone.pools.assignments_by_name)
+        self._instance_list = self._client.instances()
+        tasks_by_name = self._request_tasks(self._zone.pools.assignments_by_name)
         if self._clock.now_ms() >= self._next_sample_ms:
             self._usage.sample(tasks_by_name)
             self._next_sample_ms = self._clock.now_ms() + SAMPLE_INTERVAL_MS
@@ -342,7 +362,7 @@
         return build_fleet(
             configuration,
             pools_by_zone,
-            self._listed,
+            self._instance_list,
             now_ms,
             reports,
             sum_usage(configuration, (s.body for s in usage.values()), now_ms),
@@ -350,7 +370,7 @@
         )
 
     def _publish(self, now_ms: int) -> None:
-        """Write the plan and the learned usage for operators and other planners."""
+        """Write the plan for operators and the measured usage for other planners."""
         if self._clock.now_ms() < self._next_publish_ms or self.plan is None:
             return
         self._next_publish_ms = self._clock.now_ms() + PUBLISH_INTERVAL_MS
--- a/src/cranberrywheel/process/record_store.py
+++ b/src/cranberrywheel/process/record_store.py
@@ -1,4 +1,4 @@
-"""Reads and writes JSON records with their envelope and resolves lost answers."""
+"""Reads and writes JSON records with their envelope; resolves lost answers."""
 
 import typing as t
 
@@ -13,12 +13,12 @@
     resolve_lost_write,
 )
 
-#: Attempts to find out whether a write with a lost answer took effect.
-MAX_RESOLVE_ATTEMPTS = 3
+#: Largest number of times that one write is sent while no answer arrives.
+MAX_WRITE_ATTEMPTS = 3
 
 
 class RecordStore:
-    """Records of one writer; use it from one thread only.
+    """Reads and writes records for one writer; not thread-safe.
 
     :param writer: name of this process in the envelopes.
     """
@@ -26,25 +26,29 @@
     def __init__(self, client: StoreClient, writer: str) -> None:
         self._client = client
         self._writer = writer
-        self._known: dict[str, StoredRecord] = {}
+        self._cached_by_key: dict[str, StoredRecord] = {}
 
     def read(self, key: str) -> StoredRecord | None:
-        """Read a record; an unchanged one is not transferred again.
+        """Read a record; an unchanged record is not transferred again.
 
-        :raises StoreUnavailableError: without a usable answer.
+        :returns: the record, or ``None`` if there is none.
+        :raises StoreUnavailableError: if there is no usable answer.
         """
-        known = self._known.get(key)
-        record = self._client.get(key, newer_than=known.revision if known else 0)
+        cached = self._cached_by_key.get(key)
+        record = self._client.get(key, newer_than=cached.revision if cached else 0)
         if record == "unchanged":
-            return known
+            return cached
         if record is None:
-            self._known.pop(key, None)
+            self._cached_by_key.pop(key, None)
             return None
-        self._known[key] = parse_record(record)
-        return self._known[key]
+        self._cached_by_key[key] = parse_record(record)
+        return self._cached_by_key[key]
 
     def read_all(self, prefix: str) -> dict[str, StoredRecord]:
-        """Read all records under a prefix; keys are without the prefix."""
+        """Read all records under a prefix.
+
+        :returns: records by key without the prefix.
+        """
         return {
             record.key.removeprefix(prefix): parse_record(record)
             for record in self._client.list(prefix)
@@ -54,40 +58,44 @@
         self,
         key: str,
         body: dict[str, t.Any],
-        known: StoredRecord | None,
+        base: StoredRecord | None,
         lease: str = "",
     ) -> StoredRecord:
         """Write a record by compare-and-swap.
 
-        :param known: the record that the body was derived from, or ``None``.
-        :raises StoreConflictError: another write came first, or came after this
-            one; read the record again.
-        :raises StoreUnavailableError: the write may have taken effect; the caller
-            must read the record before it writes again.
+        :param base: the record that the body was derived from, or ``None``.
+        :param lease: lease that the record is bound to, or ``""``.
+        :raises StoreConflictError: if another write came before or after this one;
+            read the record again.
+        :raises StoreUnavailableError: if the outcome is unknown. The write may have
+            taken effect, so read the record before the next write.
         """
-        write = prepare_write(key, known, self._writer, body)
-        for attempt in range(MAX_RESOLVE_ATTEMPTS):
+        write = prepare_write(key, base, self._writer, body)
+        for attempt in range(MAX_WRITE_ATTEMPTS):
             try:
                 revision = self._client.put(
                     key, write.value, write.expected_revision, lease
                 )
-                self._known[key] = parse_record(Record(key, write.value, revision))
-                return self._known[key]
+                self._cached_by_key[key] = parse_record(
+                    Record(key, write.value, revision)
+                )
+                return self._cached_by_key[key]
             except StoreUnavailableError:
-                # The read may show that the write took effect. If it did not, the
-                # same write can be sent again, because only one of both can win.
-                if stored := self._find_write(write):
+                # A read may show that the write took effect. If it does not, the
+                # same write can be sent again: both expect the same revision, so at
+                # most one of them takes effect.
+                if stored := self._read_back(write):
                     return stored
             except StoreConflictError:
-                if attempt and (stored := self._find_write(write)):
+                if attempt and (stored := self._read_back(write)):
                     return stored
                 raise
         raise StoreUnavailableError(
-            f"No answer came to {MAX_RESOLVE_ATTEMPTS} writes of {key}.",
+            f"{MAX_WRITE_ATTEMPTS} attempts to write {key} were not answered.",
             "Check the platform's key-value service.",
         )
 
-    def _find_write(self, write: PreparedWrite) -> StoredRecord | None:
+    def _read_back(self, write: PreparedWrite) -> StoredRecord | None:
         stored = self.read(write.key)
         if stored is None:
             return None
@@ -95,8 +103,8 @@
             return None
         if stored.write_id != write.write_id:
             raise StoreConflictError(
-                f"{write.key} was written again after the lost answer.",
-                "Read it again.",
+                f"{write.key} was overwritten after a write whose answer was lost.",
+                "Read the record again.",
                 stored.revision,
             )
         return stored
--- a/src/cranberrywheel/process/record_writer.py
+++ b/src/cranberrywheel/process/record_writer.py
@@ -1,4 +1,4 @@
-"""Compare-and-swap writes whose lost answers are read back."""
+"""Compare-and-swap writes of records; resolves writes whose answer was lost."""
 
 import random
 
@@ -19,11 +19,12 @@
 )
 
 FIRST_BACKOFF_MS = 100
-#: Longer pauses would delay the first key proof after an outage beyond the
+#: Longer pauses would delay the first freshness proof after an outage beyond the
 #: freshness bound of 5 s.
 MAX_BACKOFF_MS = 2_000
-#: Times that a lost write is sent again in one attempt to resolve it.
-RESOLVE_ROUNDS = 3
+#: Largest number of times that one call of :meth:`RecordWriter.resolve` sends a write
+#: again.
+MAX_RESENDS = 3
 
 _log = PartLogger("store")
 
@@ -36,36 +37,38 @@
         self._failures = 0
         self._until_ms = 0
 
-    def failed(self, now_ms: int) -> None:
-        """Note a failure."""
-        longest = min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS << min(self._failures, 10))
+    def record_failure(self, now_ms: int) -> None:
+        """Count a failure and choose a random delay until the next attempt."""
+        max_delay_ms = min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS << min(self._failures, 10))
         self._failures += 1
-        self._until_ms = now_ms + self._random.randint(FIRST_BACKOFF_MS // 2, longest)
+        self._until_ms = now_ms + self._random.randint(
+            FIRST_BACKOFF_MS // 2, max_delay_ms
+        )
 
-    def succeeded(self) -> None:
-        """Note a success."""
+    def record_success(self) -> None:
+        """Reset the backoff after a success."""
         self._failures = 0
 
-    def allows(self, now_ms: int) -> bool:
-        """Tell whether the next attempt is due."""
+    def allows_attempt(self, now_ms: int) -> bool:
+        """Tell whether the next attempt may be made now."""
         return self._failures == 0 or now_ms >= self._until_ms
 
 
 class RecordWriter:
-    """Reads and writes records; one write of a record is open at a time.
+    """Reads and writes records, with at most one pending write per record.
 
     :param client: store client of the calling thread.
-    :param writer: process id that the records name.
+    :param writer: process id, named as the writer in the records.
     """
 
     def __init__(self, client: StoreClient, writer: str) -> None:
         self._client = client
         self._writer = writer
-        self._lost_by_key: dict[str, PreparedWrite] = {}
+        self._unresolved_by_key: dict[str, PreparedWrite] = {}
 
     def has_unresolved_write(self, key: str) -> bool:
-        """Tell whether the last write of a record has an unknown outcome."""
-        return key in self._lost_by_key
+        """Tell whether the outcome of the last write of a record is unknown."""
+        return key in self._unresolved_by_key
 
     def read(self, key: str) -> StoredRecord | None:
         """Read a record.
@@ -77,57 +80,60 @@
         return parse_record(record) if isinstance(record, Record) else None
 
     def write(self, key: str, base: StoredRecord | None, body: dict) -> StoredRecord:
-        """Write a record over a known state.
+        """Write a record by compare-and-swap.
 
-        :returns: the new state.
+        :param base: the record that the body was derived from, or ``None``.
+        :returns: the new record.
         :raises StoreConflictError: if the record has changed.
         :raises StoreUnavailableError: if the outcome is unknown; call
             :meth:`resolve` before the next write of this record.
         """
-        if key in self._lost_by_key:
+        if key in self._unresolved_by_key:
             raise StoreUnavailableError(
-                f"An earlier write of {key} is not resolved.", "Retry later."
+                f"The outcome of an earlier write of {key} is unknown.", "Retry later."
             )
         return self._send(prepare_write(key, base, self._writer, body))
 
     def _send(self, write: PreparedWrite) -> StoredRecord:
-        self._lost_by_key[write.key] = write
+        self._unresolved_by_key[write.key] = write
         try:
             revision = self._client.put(write.key, write.value, write.expected_revision)
         except (KeyError, TypeError, ValueError):
             raise StoreUnavailableError(
-                f"Writing {write.key} was answered without a revision.",
+                f"The store's answer to a write of {write.key} has no revision.",
                 "Check the platform's key-value service.",
             ) from None
         except StoreUnavailableError:
             raise
         except StoreError:
-            del self._lost_by_key[write.key]
+            del self._unresolved_by_key[write.key]
             raise
-        del self._lost_by_key[write.key]
+        del self._unresolved_by_key[write.key]
         return parse_record(Record(write.key, write.value, revision))
 
     def resolve(self, key: str) -> tuple[WriteOutcome, StoredRecord | None]:
-        """Find out whether a lost write took effect.
+        """Find out whether a write without an answer took effect.
 
-        A write that the store has not seen may still arrive late, so it is sent
-        again until either it or another write has changed the record.
+        A write that the store has not received may still arrive late. So it is sent
+        again until this or another write has changed the record.
 
-        :returns: the outcome and the record as it is now.
-        :raises StoreUnavailableError: if it is still not known.
+        :returns: the outcome and the present record.
+        :raises StoreUnavailableError: if the outcome is still unknown.
         """
-        write = self._lost_by_key[key]
-        for _ in range(RESOLVE_ROUNDS):
+        write = self._unresolved_by_key[key]
+        for _ in range(MAX_RESENDS):
             current = self.read(key)
             outcome = resolve_lost_write(write, current)
             if outcome is not WriteOutcome.PENDING:
-                del self._lost_by_key[key]
-                _log.event("resolved lost write", key=key, outcome=outcome.value)
+                del self._unresolved_by_key[key]
+                _log.event(
+                    "resolved write without answer", key=key, outcome=outcome.value
+                )
                 return outcome, current
             try:
                 return WriteOutcome.WRITTEN, self._send(write)
             except StoreConflictError:
-                self._lost_by_key[key] = write
+                self._unresolved_by_key[key] = write
         raise StoreUnavailableError(
             f"The outcome of a write of {key} is still unknown.", "Retry later."
         )
--- a/src/cranberrywheel/process/store_reader.py
+++ b/src/cranberrywheel/process/store_reader.py
@@ -117,7 +117,7 @@
     def step(self) -> None:
         """Do the reads that are due; an unavailable store delays the next."""
         now_ms = self._clock.now_ms()
-        if not self._backoff.allows(now_ms):
+        if not self._backoff.allows_attempt(now_ms):
             return
         try:
             age_ms = self._peers.store_read_age_ms()
@@ -127,9 +127,9 @@
             if now_ms >= self._list_due_ms:
                 self.read_lists()
                 self._list_due_ms = now_ms + LIST_INTERVAL_MS
-            self._backoff.succeeded()
+            self._backoff.record_success()
         except StoreUnavailableError as error:
-            self._backoff.failed(self._clock.now_ms())
+            self._backoff.record_failure(self._clock.now_ms())
             _log.event("store unavailable", cause=error.message)
 
     def read_configuration(self) -> None:
--- a/src/cranberrywheel/process/store_session.py
+++ b/src/cranberrywheel/process/store_session.py
@@ -195,7 +195,7 @@
             self._handle(message)
             self._work()
         except StoreUnavailableError as error:
-            self._backoff.failed(self._clock.now_ms())
+            self._backoff.record_failure(self._clock.now_ms())
             _log.event("store unavailable", cause=error.message)
         except StoreError as error:
             _log.warning("store call refused", cause=error.message)
@@ -216,7 +216,7 @@
 
     def _work(self) -> None:
         now_ms = self._clock.now_ms()
-        allowed = self._backoff.allows(now_ms)
+        allowed = self._backoff.allows_attempt(now_ms)
         if allowed:
             self._keep_lease(now_ms)
         self._changes.step(now_ms, allowed)
@@ -226,7 +226,7 @@
             self._units_due_ms = now_ms + UNIT_INTERVAL_MS
             self._units.step(snapshot, now_ms)
         if allowed:
-            self._backoff.succeeded()
+            self._backoff.record_success()
 
     def _keep_lease(self, now_ms: int) -> None:
         renewed = False
--- a/src/cranberrywheel/process/zone_lease.py
+++ b/src/cranberrywheel/process/zone_lease.py
@@ -1,4 +1,4 @@
-"""The right to act for one zone: a store lease with a fencing token."""
+"""Store lease with a fencing token that entitles one planner to act for a zone."""
 
 import typing as t
 
@@ -12,17 +12,18 @@
 from cranberrywheel.process.record_store import RecordStore
 from cranberrywheel.settings import PlannerSettings
 
-#: Part of the lease in which the holder acts; the rest covers clock rates and the
-#: time that a call takes to reach the platform.
+#: Fraction of the lease TTL during which the holder acts. The rest covers differing
+#: clock rates and the time that a call takes to reach the platform.
 ACTING_FRACTION = 0.8
+#: Fraction of the lease TTL after which the holder renews the lease.
 RENEWAL_FRACTION = 0.3
 
 
 class ZoneLease:
-    """Holds ``planners/<zone>`` for one planner process.
+    """Lease of one planner process on the record ``planners/<zone>``.
 
-    The fencing token is the store revision of that record. Revisions rise across
-    the store, so each later holder has a higher one.
+    The fencing token is the store revision of that record. Revisions increase over
+    the whole store, so each later holder has a higher token.
     """
 
     def __init__(
@@ -41,27 +42,28 @@
         self.fence = 0
 
     def is_valid(self) -> bool:
-        """Tell whether the planner may act now, by its own clock."""
+        """Tell whether the planner may act now, judged by its own clock."""
         age_ms = self._clock.now_ms() - self._renewed_ms
         acting_ms = self._settings.lease_ttl_ms * ACTING_FRACTION
         return self.fence > 0 and age_ms < acting_ms
 
     def check(self) -> None:
-        """Refuse to act without a valid lease.
+        """Check that the lease is valid.
 
-        :raises LeaseLostError: if the planner may no longer act.
+        :raises LeaseLostError: if the planner may not act.
         """
         if not self.is_valid():
             raise LeaseLostError(
-                f"The planner lease of zone {self._settings.zone} is too old to act.",
-                "It is taken again in a later round.",
+                f"The planner lease of zone {self._settings.zone} is no longer valid.",
+                "Nothing to do: a later round renews or acquires it.",
             )
 
-    def hold(self) -> bool:
-        """Renew or take the lease.
+    def renew_or_acquire(self) -> bool:
+        """Renew the lease, or acquire it.
 
-        :returns: false while another planner acts for the zone.
-        :raises StoreUnavailableError: a lease held so far may still be valid.
+        :returns: false while another planner holds the lease of the zone.
+        :raises StoreUnavailableError: if the store does not answer; a lease held so
+            far may still be valid.
         """
         if self._lease and self.fence:
             started_ms = self._clock.now_ms()
@@ -73,10 +75,10 @@
                 self._renewed_ms = started_ms
                 return True
             except LeaseLostError:
-                self._forget()
-        return self._take()
+                self._clear()
+        return self._acquire()
 
-    def _take(self) -> bool:
+    def _acquire(self) -> bool:
         key = f"planners/{self._settings.zone}"
         if self._records.read(key) is not None:
             return False
@@ -92,14 +94,14 @@
         self.fence = stored.revision
         return True
 
-    def _forget(self) -> None:
+    def _clear(self) -> None:
         self._lease, self.fence, self._renewed_ms = "", 0, 0
 
     def release(self) -> None:
-        """Give the lease up, so that another planner need not wait for its end."""
+        """Revoke the lease, so that another planner need not wait for its expiry."""
         if self._lease:
             try:
                 self._client.revoke_lease(self._lease)
             except StoreUnavailableError:
                 pass
-        self._forget()
+        self._clear()
--- a/src/cranberrywheel/process/zone_record.py
+++ b/src/cranberrywheel/process/zone_record.py
@@ -1,4 +1,4 @@
-"""The record ``pools/<zone>`` and what the platform was asked to do because of it."""
+"""Store record ``pools/<zone>`` and the platform actions that establish its states."""
 
 import dataclasses
 import typing as t
@@ -29,11 +29,11 @@
 
 
 class ZoneRecord:
-    """Changes the states of one zone's instances.
+    """Writes the states of one zone's instances and applies them at the platform.
 
-    Each change is written first and repeated at the platform until it is confirmed.
-    A paused planner fails in both places: the write on its revision, the platform
-    call on its fence.
+    Each change is written first; then the platform action is repeated until the
+    platform confirms it. A planner that was paused past its lease fails in both
+    places: its write fails on the revision, its platform call on the fence.
     """
 
     def __init__(
@@ -52,36 +52,43 @@
         self._clock = clock
         self._stored: StoredRecord | None = None
         self._claimed_fence = 0
-        #: Clock reading at which the platform confirmed the recorded state.
+        #: Own clock reading when the platform confirmed the recorded state.
         self._confirmed_ms_by_name: dict[str, int] = {}
         self.pools = ZonePoolsRecord(fence=0, assignments_by_name={})
 
     def claim(self, configuration: Configuration, now_ms: int) -> bool:
-        """Read the record, write the own fence into it and add new workers.
+        """Read the record and write this planner's fence and new workers into it.
 
+        :param now_ms: wall clock.
         :returns: whether this is the first claim with the present fence.
-        :raises LeaseLostError: if a later planner wrote the record.
+        :raises LeaseLostError: if a planner with a higher fence wrote the record.
         """
         self._stored = self._records.read(self._key)
-        known = parse_zone_pools(self._stored.body) if self._stored else None
+        current = parse_zone_pools(self._stored.body) if self._stored else None
         fence = self._lease.fence
-        if known and known.fence > fence:
-            raise LeaseLostError("A later planner wrote the pools.", "Stand by.")
-        seeded = add_declared_workers(configuration, self._zone, known, fence, now_ms)
-        if seeded != known:
-            self._write(seeded)
-        self.pools = seeded
+        if current and current.fence > fence:
+            raise LeaseLostError(
+                f"A planner with fence {current.fence} wrote {self._key}; "
+                f"this one has {fence}.",
+                "Nothing to do: this planner stands by.",
+            )
+        completed = add_declared_workers(
+            configuration, self._zone, current, fence, now_ms
+        )
+        if completed != current:
+            self._write(completed)
+        self.pools = completed
         is_first = self._claimed_fence != fence
         if is_first:
-            # The platform must see the new fence for each instance, also for those
-            # that serve: a paused planner could otherwise still drain them.
+            # The platform must see the new fence for each instance, including those
+            # that serve. Otherwise a paused planner could still drain them.
             self._confirmed_ms_by_name.clear()
             self._claimed_fence = fence
             _log.event(
-                "acting for the zone",
+                "acting as planner of the zone",
                 zone=self._zone,
                 fence=fence,
-                instances=len(seeded.assignments_by_name),
+                instances=len(completed.assignments_by_name),
             )
         return is_first
 
@@ -94,9 +101,9 @@
     def change(
         self, assignments_by_name: t.Mapping[str, InstanceAssignment | None]
     ) -> None:
-        """Record new states, then make them true at the platform.
+        """Write new assignments, then apply their states at the platform.
 
-        :param rows_by_name: new rows; ``None`` drops an instance.
+        :param assignments_by_name: new assignments; ``None`` drops an instance.
         """
         if not assignments_by_name:
             return
@@ -106,13 +113,15 @@
             before = assignments.pop(name)
             if assignment is None:
                 maintained.pop(name, None)
-                _log.event("instance left the configuration", instance=name)
+                _log.event(
+                    "dropping instance that left the configuration", instance=name
+                )
                 continue
             assignments[name] = assignment
             if before.state is InstanceState.REBOOTING:
                 maintained[name] = assignment.since_ms
             _log.event(
-                "instance changes state",
+                "changing state of instance",
                 instance=name,
                 before=before.state,
                 after=assignment.state,
@@ -131,17 +140,17 @@
         self.confirm()
 
     def confirmation_age_ms(self, name: str) -> int | None:
-        """Return how long ago the platform confirmed the recorded state.
+        """Return the time since the platform confirmed the recorded state.
 
-        :returns: milliseconds, or ``None`` if it has not confirmed it.
+        :returns: milliseconds, or ``None`` if the platform has not confirmed it.
         """
         confirmed_ms = self._confirmed_ms_by_name.get(name)
         return None if confirmed_ms is None else self._clock.now_ms() - confirmed_ms
 
     def confirm(self) -> None:
-        """Repeat the recorded states that the platform has not confirmed.
+        """Send the platform action of each recorded state that is not confirmed.
 
-        :raises LeaseLostError: if a later planner acts for the zone.
+        :raises LeaseLostError: if the platform has seen a higher fence.
         """
         for name, assignment in self.pools.assignments_by_name.items():
             if name in self._confirmed_ms_by_name:
@@ -155,11 +164,18 @@
             except StoreUnavailableError:
                 raise
             except StoreError as error:
-                # The instance list does not show it, so there is nothing to act on.
-                _log.event("action postponed", instance=name, cause=error.message)
+                # The platform does not list the instance, so there is nothing to
+                # act on yet.
+                _log.event(
+                    "platform action refused; retrying next round",
+                    instance=name,
+                    cause=error.message,
+                )
                 continue
             if not accepted:
                 raise LeaseLostError(
-                    f"The platform saw a later fence for {name}.", "Stand by."
+                    f"The platform saw a higher fence than {self._lease.fence} for "
+                    f"{name}.",
+                    "Nothing to do: this planner stands by.",
                 )
             self._confirmed_ms_by_name[name] = self._clock.now_ms()
