--- a/src/cranberrywheel/process/membership.py
+++ b/src/cranberrywheel/process/membership.py
@@ -1,4 +1,4 @@
-"""Which entry processes are registered, and when each was last heard."""
+"""Registered entry processes, and the time of the last report from each."""
 
 import dataclasses
 import ipaddress
@@ -15,11 +15,12 @@
 from cranberrywheel.settings import EntrySettings
 
 ENTRIES_PREFIX = "entries/"
+#: Instance, availability zone and peer address of a process.
 Location = tuple[str, str, str]
 
 
 def new_process_id(settings: EntrySettings) -> str:
-    """Create the id of one process start.
+    """Create a process id, which is different at each start.
 
     :returns: ``<zone>.<instance>.<random>``.
     """
@@ -27,7 +28,7 @@
 
 
 def is_address(text: str) -> bool:
-    """Tell whether a text is ``<IP number>:<port>``."""
+    """Tell whether a text has the form ``<IP number>:<port>``."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -46,10 +47,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Registration:
-    """One entry process as registered under ``entries/<process id>``.
+    """Entry process as registered under ``entries/<process id>``.
 
-    :param revision: store revision of the registration; 0 if it was learned
-        from a peer instead of the store.
+    :param revision: store revision of the registration; 0 if it is known only from
+        the process's own message.
     """
 
     process_id: str
@@ -60,35 +61,36 @@
     revision: int = 0
 
     @property
-    def place(self) -> Location:
-        """Instance, zone and address; only one process can be there."""
+    def location(self) -> Location:
+        """Instance, zone and peer address; only one process can be alive there."""
         return self.instance, self.zone, self.peer_address
 
-    def replaces(self, other: "Registration", answers_now: bool = False) -> bool:
-        """Tell whether this process proves that another one is dead.
+    def supersedes(self, other: "Registration", answered_later: bool = False) -> bool:
+        """Tell whether this process proves that another one has ended.
 
-        It listens on the address of the other, which therefore cannot.
+        This process listens on the other one's address, so the other one cannot.
 
-        :param answers_now: it answered after the other was seen registered.
+        :param answered_later: whether this process answered after the other one was
+            seen in the roster.
         """
         return (
             self.process_id != other.process_id
-            and (answers_now or self.revision > other.revision)
-            and self.place == other.place
+            and (answered_later or self.revision > other.revision)
+            and self.location == other.location
         )
 
 
 def group_by_location(
     registrations: t.Iterable[Registration],
 ) -> dict[Location, list[Registration]]:
-    """Group registrations by the place of their process."""
+    """Group registrations by the location of their process."""
     groups: dict[Location, list[Registration]] = {}
     for registration in registrations:
-        groups.setdefault(registration.place, []).append(registration)
+        groups.setdefault(registration.location, []).append(registration)
     return groups
 
 
-def own_registration(settings: EntrySettings, process_id: str) -> Registration:
+def build_own_registration(settings: EntrySettings, process_id: str) -> Registration:
     """Build the registration of this process."""
     host = f"[{settings.host}]" if ":" in settings.host else settings.host
     return Registration(
@@ -108,7 +110,7 @@
 
 
 def parse_registration(record: Record) -> Registration:
-    """Read a registration.
+    """Parse a registration.
 
     :raises StoreError: if it is malformed.
     """
@@ -116,15 +118,16 @@
         body = _RegistrationBody.model_validate_json(record.value)
     except pydantic.ValidationError:
         raise StoreError(
-            f"Registration {record.key} is malformed.", "Delete the key."
+            f"Registration {record.key} is malformed.",
+            "Delete the key; the process registers again if it is alive.",
         ) from None
     return Registration(revision=record.revision, **body.model_dump())
 
 
 class Membership:
-    """Roster of entries with the time of the newest message known of each.
+    """Roster of entry processes, with the time of the newest report from each.
 
-    A message counts only once its content is adopted here; see
+    A report counts only once this process has adopted its content; see
     :class:`cranberrywheel.process.exchange.PeerExchange`.
 
     :param process_id: id of this process.
@@ -133,92 +136,94 @@
     def __init__(self, process_id: str) -> None:
         self._process_id = process_id
         self._roster_by_id: dict[str, Registration] | None = None
-        self._learned_by_id: dict[str, Registration] = {}
-        # Learned processes that answered a call to their address.
-        self._answering_ids: set[str] = set()
-        self._heard_ms_by_id: dict[str, int] = {}
+        self._discovered_by_id: dict[str, Registration] = {}
+        # Discovered processes that answered a call to their address.
+        self._responding_ids: set[str] = set()
+        self._last_report_ms_by_id: dict[str, int] = {}
         self._list_revision = 0
         self._listed_instances: set[str] = set()
-        self._gone_instances: set[str] = set()
+        self._removed_instances: set[str] = set()
 
     def set_roster(self, registrations: list[Registration]) -> None:
-        """Take the registered entries from the store.
+        """Replace the roster by the entries read from the store.
 
-        Processes that are not registered are learned again when they next send.
+        Unregistered processes are forgotten until they send the next message.
         """
         roster = {r.process_id: r for r in registrations}
         self._roster_by_id = roster
-        self._heard_ms_by_id = {
-            i: at_ms for i, at_ms in self._heard_ms_by_id.items() if i in roster
+        self._last_report_ms_by_id = {
+            process_id: at_ms
+            for process_id, at_ms in self._last_report_ms_by_id.items()
+            if process_id in roster
         }
-        self._learned_by_id.clear()
-        self._answering_ids.clear()
+        self._discovered_by_id.clear()
+        self._responding_ids.clear()
 
-    def learn(self, registration: Registration, answered: bool) -> None:
-        """Note a process that sent a message but is not in the roster.
+    def add_discovered(self, registration: Registration, answered: bool) -> None:
+        """Add a process that sent a message but is not in the roster.
 
-        :param answered: it answered a call to its address, so no other process
-            listens there.
+        :param answered: whether it answered a call to its address; then no other
+            process listens there.
         """
         process_id = registration.process_id
         if process_id != self._process_id and process_id not in (
             self._roster_by_id or ()
         ):
-            self._learned_by_id[process_id] = registration
+            self._discovered_by_id[process_id] = registration
             if answered:
-                self._answering_ids.add(process_id)
+                self._responding_ids.add(process_id)
 
     def set_instances(self, listed: InstanceList) -> None:
-        """Take the instance list.
+        """Use a new instance list.
 
-        Only an instance that was listed before can be gone: a new one may be
-        absent because the list lags.
+        Only an instance that was listed before counts as removed, because a new
+        instance may be missing from an outdated list.
         """
         if listed.revision < self._list_revision:
             return
         self._list_revision = listed.revision
         present = {row.instance_id for row in listed.instances}
         self._listed_instances |= present
-        self._gone_instances = self._listed_instances - present
+        self._removed_instances = self._listed_instances - present
 
-    def heard(self, process_id: str, at_ms: int) -> None:
-        """Note that everything a process knew at a time is known here.
+    def record_report(self, process_id: str, at_ms: int) -> None:
+        """Record that everything a process knew at some time is known here.
 
-        :param at_ms: own clock reading, not later than when it was sent.
+        :param at_ms: own clock reading, not later than the sending of the report.
         """
-        if at_ms > self._heard_ms_by_id.get(process_id, -1):
-            self._heard_ms_by_id[process_id] = at_ms
+        if at_ms > self._last_report_ms_by_id.get(process_id, -1):
+            self._last_report_ms_by_id[process_id] = at_ms
 
     def last_report_ms_by_id(self) -> dict[str, int]:
-        """Return the time of the newest message of each process."""
-        return dict(self._heard_ms_by_id)
+        """Return the time of the newest report from each process."""
+        return dict(self._last_report_ms_by_id)
 
     def peers(self) -> list[Registration]:
         """Return all other processes that may be alive."""
-        known = {**self._learned_by_id, **(self._roster_by_id or {})}
+        known = {**self._discovered_by_id, **(self._roster_by_id or {})}
         known.pop(self._process_id, None)
         groups = group_by_location(known.values())
-        return [r for r in known.values() if not self._is_gone(r, groups[r.place])]
+        return [r for r in known.values() if not self._has_ended(r, groups[r.location])]
 
-    def _is_gone(
-        self, registration: Registration, same_place: list[Registration]
+    def _has_ended(
+        self, registration: Registration, same_location: list[Registration]
     ) -> bool:
-        if registration.instance in self._gone_instances:
+        if registration.instance in self._removed_instances:
             return True
         return any(
-            other.replaces(registration, other.process_id in self._answering_ids)
-            for other in same_place
+            other.supersedes(registration, other.process_id in self._responding_ids)
+            for other in same_location
         )
 
     def known_until_ms(self) -> int | None:
-        """Return up to when the knowledge of all registered entries is here.
+        """Return the time up to which everything that other entries knew is known here.
 
-        :returns: own clock reading, or ``None`` if the roster is not known or a
-            registered entry that is not gone was never heard.
+        :returns: own clock reading, or ``None`` if the roster is not known or there
+            is no report from a registered entry that may be alive.
         """
         if not self._roster_by_id or self._process_id not in self._roster_by_id:
             return None
-        times = [self._heard_ms_by_id.get(r.process_id) for r in self.peers()]
+        times = [self._last_report_ms_by_id.get(r.process_id) for r in self.peers()]
         # A roster without peers proves nothing about entries that registered
         # while this process could not read the store.
         if not times or None in times:
@@ -227,11 +232,11 @@
 
 
 class MissingHolders:
-    """Tracks since when holders of units are unregistered or replaced."""
+    """Tracks since when holders of quota units are unregistered or replaced."""
 
     def __init__(self) -> None:
-        # The registration is part of the key: a holder that came back and was
-        # lost again starts a new absence.
+        # The registration is part of the key, so that a holder that registered again
+        # and disappeared again starts a new absence.
         self._absences: dict[tuple[str, int], Absence] = {}
 
     def observe(
@@ -240,13 +245,18 @@
         registrations: list[Registration],
         now_ms: int,
     ) -> None:
-        """Compare holders with the registrations, which were read afterwards."""
+        """Update the absences of all holders.
+
+        :param records: limit records.
+        :param registrations: read after the limit records.
+        :param now_ms: own clock reading.
+        """
         registered = {r.process_id for r in registrations}
-        newest = {
-            place: max(group, key=lambda r: r.revision)
-            for place, group in group_by_location(registrations).items()
+        newest_by_location = {
+            location: max(group, key=lambda r: r.revision)
+            for location, group in group_by_location(registrations).items()
         }
-        seen: dict[tuple[str, int], Absence] = {}
+        absences: dict[tuple[str, int], Absence] = {}
         for record in records:
             for holder, row in record.holders.items():
                 key = (holder, row.registration)
@@ -255,14 +265,20 @@
                 if holder not in registered:
                     missing_ms = before.missing_ms
                     missing_ms = now_ms if missing_ms is None else missing_ms
-                there = newest.get((row.instance, row.zone, row.address))
-                if there and there.process_id != holder and replaced_ms is None:
-                    if there.revision > row.registration:
+                newest_at_location = newest_by_location.get(
+                    (row.instance, row.zone, row.address)
+                )
+                if (
+                    newest_at_location
+                    and newest_at_location.process_id != holder
+                    and replaced_ms is None
+                ):
+                    if newest_at_location.revision > row.registration:
                         replaced_ms = now_ms
                 if missing_ms is not None or replaced_ms is not None:
-                    seen[key] = Absence(missing_ms, replaced_ms)
-        self._absences = seen
+                    absences[key] = Absence(missing_ms, replaced_ms)
+        self._absences = absences
 
     def get(self, holder: str, registration: int) -> Absence | None:
-        """Return since when a holder is gone, or ``None`` if it is not."""
+        """Return since when a holder is absent, or ``None`` if it is not."""
         return self._absences.get((holder, registration))
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -45,11 +45,11 @@
         return len(reads)
 
     def test_store_reads_are_shared(self):
-        """Without shared proofs the store's load would grow with the entries."""
+        """Without shared freshness proofs, store load grows with the entry count."""
         self.assertLess(self.count_reads(False), 0.6 * self.count_reads(True))
 
     def test_proof_of_a_peer_ages_by_the_whole_exchange(self):
-        """A slow answer must not make an old proof look young."""
+        """A slow answer must not make an old freshness proof look recent."""
         group, (a, b, _) = self.group()
         group.set_down(True)
         group.clock.advance(60_000)
@@ -58,7 +58,7 @@
         self.assertEqual(4_500, a.freshness.age_ms(group.clock.now_ms()))
 
     def test_proof_of_a_slow_read_counts_from_before_it(self):
-        """The withdrawal may be stored after the store has answered."""
+        """A revocation may be stored after the store has built its answer."""
         group, (a, _, _) = self.group()
         client = a.clients[1]
         get = client.get
@@ -74,15 +74,15 @@
         self.assertEqual(3_000, a.freshness.age_ms(group.clock.now_ms()))
 
     def test_messages_of_entries_prove_nothing_while_the_store_is_read(self):
-        """The roster may lack an entry that has just registered."""
+        """Peer reports prove nothing: an entry may just have registered."""
         group, (a, _, _) = self.group()
         for _ in range(20):
             group.run(500)
             proof_ms = a.freshness.age_ms(group.clock.now_ms())
             self.assertEqual(a.exchange.store_read_age_ms(), proof_ms)
 
-    def test_registered_entry_that_was_never_heard(self):
-        """It may know a withdrawal that no other entry knows."""
+    def test_registered_entry_without_any_report(self):
+        """Such an entry may know a revocation that no other entry knows."""
         group = build_entry_group(3)
         a, b, c = group.entries
         c.cut_off = True
@@ -92,8 +92,8 @@
         group.run(6_000)
         self.assertEqual([False, False], [a.is_fresh(), b.is_fresh()])
 
-    def test_ages_in_unasked_messages_do_not_count(self):
-        """A message may have waited in a paused receiver for any time."""
+    def test_ages_in_unsolicited_messages_do_not_count(self):
+        """A message may have waited in a paused receiver for any length of time."""
         group, (a, b, _) = self.group()
         state = b.exchange.build_state()
         group.clock.advance(60_000)
@@ -101,7 +101,7 @@
         self.assertFalse(a.is_fresh())
 
     def test_store_down_for_all_entries(self):
-        """Authenticated requests must go on while all entries hear each other."""
+        """Keys must stay fresh without the store while all entries reach each other."""
         group, entries = self.group()
         group.set_down(True)
         for _ in range(300):
@@ -109,7 +109,7 @@
             self.assertTrue(all(e.is_fresh() for e in entries))
 
     def test_silent_entry_ends_freshness_without_the_store(self):
-        """The silent one could have accepted a withdrawal."""
+        """An entry that sends no reports may have accepted a revocation."""
         group, (a, b, c) = self.group()
         group.set_down(True)
         c.cut_off = True
@@ -120,7 +120,7 @@
         self.assertEqual([False, False, False], fresh)
 
     def test_age_of_a_message_is_relayed(self):
-        """Two entries that cannot reach each other share a third one."""
+        """Entries that cannot reach each other must stay fresh through a third one."""
         group, (a, b, c) = self.group()
         group.set_down(True)
         for _ in range(40):
@@ -129,8 +129,8 @@
             group.clock.advance(500)
         self.assertTrue(a.is_fresh() and c.is_fresh())
 
-    def test_withdrawal_during_an_outage_stops_the_key_everywhere(self):
-        """A mark must reach relayed entries before their proof is renewed."""
+    def test_revocation_during_an_outage_reaches_all_entries(self):
+        """A tombstone must reach relayed entries before their proof is renewed."""
         group, (a, b, c) = self.group()
         key_id = a.grant("t").result(0).partition(".")[0]
         group.run(3_000)
@@ -154,7 +154,7 @@
         self.assertEqual(set(), b.exchange.list_unwritten_tombstones())
 
     def test_older_proof_does_not_hide_a_newer_version(self):
-        """A peer's proof covers its version; without that version it is void."""
+        """A proof covers the version of its sender and is invalid without it."""
         group, (a, b, _) = self.group()
         group.set_down(True)
         group.clock.advance(60_000)
@@ -170,7 +170,7 @@
         self.assertTrue(a.is_fresh())
 
     def test_start_during_an_outage(self):
-        """A replacement gets the version from peers that know its address."""
+        """A replacement must get the configuration from peers without the store."""
         group, entries = self.group()
         key_id = entries[0].grant("t").result(0).partition(".")[0]
         group.run(5_000)
@@ -184,8 +184,8 @@
         refused = new.withdraw(key_id)
         self.assertEqual("store-unavailable", refused.exception(0).kind)
 
-    def test_load_is_reported_and_silence_is_noticed(self):
-        """Load of a dead peer must not count for ever."""
+    def test_load_is_reported_and_unresponsive_peer_is_dropped(self):
+        """The load of a peer that has ended must not count forever."""
         group, (a, b, _) = self.group()
         load = PeerLoad("t", "s", 3, 2, 1)
         b.exchange.set_load(LoadReport((load,), {"w1": 4}, ("w2",), True))
@@ -199,7 +199,7 @@
         self.assertEqual([PeerLost(b.process_id)], self.received(a, PeerLost))
 
     def test_malformed_messages_are_refused(self):
-        """A faulty peer must not change what this entry knows."""
+        """A malformed message must not change the state of this entry."""
         group, (a, b, _) = self.group()
         for name, value in (
             ("process_id", ""),
@@ -219,7 +219,7 @@
 
 class MembershipTest(testtools.TestCase):
     def test_each_absence_of_a_holder_counts_for_itself(self):
-        """A holder that came back must not be reclaimed by its first absence."""
+        """Units of a holder that returned must not be reclaimed for an old absence."""
         missing = MissingHolders()
 
         def observe(registration, now_ms, *registered):
@@ -242,8 +242,8 @@
         elsewhere = Registration("o", "e", "z2", "a:2", "a:1", 9)
         self.assertEqual((70, None), observe(5, 70, elsewhere))
 
-    def test_new_instance_is_not_taken_for_gone(self):
-        """A lagging list lacks new instances; only a listed one can be gone."""
+    def test_new_instance_does_not_count_as_removed(self):
+        """An outdated list lacks new instances; only a listed one can be removed."""
         group = build_entry_group(3)
         group.entries[0].apply(TEXT, 0).result(0)
         for entry in group.entries[:2]:
@@ -256,6 +256,6 @@
         self.assertEqual([c.process_id], [p.process_id for p in a.exchange.peers()])
 
     def test_malformed_registration_is_refused(self):
-        """One bad key must not hide the other entries."""
+        """One malformed registration must not hide the other entries."""
         record = Record("entries/x", "{}", 1)
         self.assertRaises(StoreError, parse_registration, record)
