--- a/src/cranberrywheel/node/caller_api.py
+++ b/src/cranberrywheel/node/caller_api.py
@@ -12,7 +12,12 @@
 from cranberrywheel.node.intake import Acceptance
 from cranberrywheel.node.metrics import Metrics
 from cranberrywheel.platform import callers as wire
-from cranberrywheel.submission.model import Configuration, Queue, State, Submission
+from cranberrywheel.submission.model import (
+    Configuration,
+    Queue,
+    Submission,
+    SubmissionState,
+)
 
 #: Part of a caller's wait that is reserved for the transfer of the response.
 ANSWER_MARGIN_MS = 250
@@ -39,7 +44,9 @@
         :param wait_ms: time for which the caller waits, in milliseconds.
         """
 
-    def find_state(self, submission_id: str, wait_ms: int) -> "Future[State | None]":
+    def find_state(
+        self, submission_id: str, wait_ms: int
+    ) -> "Future[SubmissionState | None]":
         """Read the state of a submission; ``None`` if it does not exist."""
 
     def cancel(self, submission_id: str, wait_ms: int) -> "Future[bool]":
--- a/src/cranberrywheel/node/leader.py
+++ b/src/cranberrywheel/node/leader.py
@@ -24,17 +24,21 @@
 from cranberrywheel.platform.store import Item, Outcome, Store, StoreReply, Write
 from cranberrywheel.submission import actions as a
 from cranberrywheel.submission.executor import Executor
+from cranberrywheel.submission.executor_orders import (
+    OrderVerdict,
+    PollReply,
+    StartOrder,
+)
 from cranberrywheel.submission.handover import (
-    EMPTY_ACCOUNT,
-    begin_from,
-    decode_account,
-    encode_account,
-    take_over,
-    write_account,
+    EMPTY_HANDOVER_RECORD,
+    apply_handover_record,
+    build_handover_record,
+    decode_handover_record,
+    encode_handover_record,
+    prepare_takeover,
 )
 from cranberrywheel.submission.live import LiveSubmission, RunState
 from cranberrywheel.submission.model import Configuration
-from cranberrywheel.submission.orders import Look, StartOrder, Verdict
 from cranberrywheel.submission.record import (
     decode_final_state,
     decode_progress,
@@ -102,7 +106,7 @@
         self._loop = loop
         self._store = store
         self._previous_fence = previous_fence
-        self._account = EMPTY_ACCOUNT
+        self._account = EMPTY_HANDOVER_RECORD
         self._client = client
         self._advisor = advisor
         self._has_valid_lease = has_valid_lease
@@ -152,10 +156,10 @@
             self._loop.after(RETRY_MS, self.start)
             return
         if reply.outcome is Outcome.OK:
-            account = decode_account(reply.items[0].value or b"")
+            account = decode_handover_record(reply.items[0].value or b"")
             if account is not None and account.fence == self._previous_fence:
                 self._account = account
-                begin_from(self.scheduler, account, self._loop.clock.now_ms())
+                prepare_takeover(self.scheduler, account, self._loop.clock.now_ms())
         self._read_executors()
 
     def _read_executors(self) -> None:
@@ -165,7 +169,9 @@
         """Return the encoded handover record of all runs for the next leader."""
         is_complete = self._submissions_loaded and self._executors_loaded
         now_ms = self._loop.clock.now_ms()
-        return encode_account(write_account(self.scheduler, is_complete, now_ms))
+        return encode_handover_record(
+            build_handover_record(self.scheduler, is_complete, now_ms)
+        )
 
     def stop(self) -> None:
         """Stop scheduling and ignore replies that are still outstanding."""
@@ -213,8 +219,8 @@
             handed_over=scheduler.handed_over,
             runs=len(self._account.runs),
         )
-        take_over(scheduler, self._account, self._loop.clock.now_ms())
-        self._account = EMPTY_ACCOUNT
+        apply_handover_record(scheduler, self._account, self._loop.clock.now_ms())
+        self._account = EMPTY_HANDOVER_RECORD
         for submission_id in self._cancelled_while_loading:
             scheduler.cancel(submission_id, self._loop.clock.now_ms())
         self._cancelled_while_loading.clear()
@@ -298,7 +304,7 @@
         elif suffix == PROGRESS_SUFFIX and not self._submissions_loaded:
             scheduler.restore(submission_id, decode_progress(value), item.revision)
         elif suffix == FINAL_SUFFIX:
-            scheduler.final_by_id[submission_id] = decode_final_state(value)
+            scheduler.final_state_by_id[submission_id] = decode_final_state(value)
 
     # Scheduling passes and orders
 
@@ -337,7 +343,7 @@
 
     def _update_permissions(self) -> None:
         may_continue = self._may_continue_without_store()
-        self.scheduler.store_away = may_continue
+        self.scheduler.store_unreachable = may_continue
         allowed = self._has_valid_lease() or may_continue
         self.scheduler.may_start = allowed and self._executors_loaded
 
@@ -354,9 +360,9 @@
                 self._poll_if_needed(executor)
         elif isinstance(action, a.StopRun):
             self._send_stop(action)
-        elif isinstance(action, a.PaceRun):
+        elif isinstance(action, a.ThrottleRun):
             self._send_throttle(action)
-        elif isinstance(action, a.ForgetExecutor):
+        elif isinstance(action, a.DeleteExecutorRecord):
             self._delete_executor_record(action.executor_id)
         else:
             self._request_advice(action)
@@ -374,7 +380,7 @@
             if executor is None or run.key not in executor.runs:
                 continue
             if run.state is not RunState.STARTING or not executor.reachable:
-                self.scheduler.drop_run(run)
+                self.scheduler.discard_run(run)
                 continue
             self._send_start(executor, action)
 
@@ -386,7 +392,7 @@
             task=task.name,
             number=run.number,
             payload=task.step_run.live.submission.payload,
-            deadline_ms=executor.deadline(RUN_LEASE_MS, now_ms),
+            deadline_ms=executor.extend_lease(RUN_LEASE_MS, now_ms),
             fence=self.scheduler.fence,
             checkpoint=task.checkpoint,
             ticket=action.ticket,
@@ -403,7 +409,7 @@
                 self._step_down("an executor has seen a newer fencing token")
                 return
             self._send_starts(executor.id)
-            if reply.verdict is not Verdict.OK:
+            if reply.verdict is not OrderVerdict.OK:
                 self.request_pass()
 
         self._client.start(executor.entry, order, on_reply)
@@ -423,7 +429,7 @@
             executor.entry, action.task, action.number, self.scheduler.fence, on_reply
         )
 
-    def _send_throttle(self, action: a.PaceRun) -> None:
+    def _send_throttle(self, action: a.ThrottleRun) -> None:
         run = action.run
         executor = self.scheduler.executors_by_id.get(run.executor_id)
         if executor is None:
@@ -437,9 +443,9 @@
         )
 
         def on_reply(reply: t.Any) -> None:
-            if reply.verdict is not Verdict.OK:
-                run.paced_ms = 0  # decide again after the next poll
-                run.paced = 100 if action.percent < 100 else 0
+            if reply.verdict is not OrderVerdict.OK:
+                run.speed_changed_ms = 0  # decide again after the next poll
+                run.speed_percent = 100 if action.percent < 100 else 0
 
         self._client.throttle(
             executor.entry,
@@ -450,7 +456,7 @@
             on_reply,
         )
 
-    def _request_advice(self, action: a.AskAdvice) -> None:
+    def _request_advice(self, action: a.RequestAdvice) -> None:
         def on_reply(tickets: dict[str, str], valid_ms: int) -> None:
             now_ms = self._loop.clock.now_ms()
             self.scheduler.on_advice(action.step, tickets, valid_ms, now_ms)
@@ -465,13 +471,13 @@
 
     def _poll_if_needed(self, executor: Executor) -> None:
         # Until all submissions are loaded, their runs and completions would be unknown.
-        if self._submissions_loaded and executor.wants_look:
+        if self._submissions_loaded and executor.needs_poll:
             self._poll_executor(executor)
 
     def _poll_executor(self, executor: Executor) -> None:
         if executor.id in self._polling_ids or self._stopped:
             return
-        if not executor.registered and not executor.runs and executor.fenced:
+        if not executor.registered and not executor.runs and executor.fence_confirmed:
             return
         self._polling_ids.add(executor.id)
         now_ms = self._loop.clock.now_ms()
@@ -480,30 +486,32 @@
         # other executors.
         renews = bool(executor.runs) and executor.reachable
         if renews and (self._has_valid_lease() or self._may_continue_without_store()):
-            deadline_ms = executor.deadline(RUN_LEASE_MS, now_ms)
+            deadline_ms = executor.extend_lease(RUN_LEASE_MS, now_ms)
         was_reachable = executor.reachable
-        holds_open = bool(executor.runs) and executor.fenced and executor.reachable
+        holds_open = (
+            bool(executor.runs) and executor.fence_confirmed and executor.reachable
+        )
 
-        def on_poll_reply(look: Look) -> None:
+        def on_poll_reply(look: PollReply) -> None:
             self._polling_ids.discard(executor.id)
             if self._stopped:
                 return
             current = self.scheduler.executors_by_id.get(executor.id)
-            if not self.scheduler.on_look(
+            if not self.scheduler.on_poll_reply(
                 executor.id, look, now_ms, self._loop.clock.now_ms()
             ):
                 self._step_down("an executor has seen a newer fencing token")
                 return
             self.request_pass()
-            if current is not None and current.wants_look:
+            if current is not None and current.needs_poll:
                 # The first failed poll may be an isolated loss, so it is soon repeated.
-                repeats_soon = look.verdict is Verdict.OK or was_reachable
+                repeats_soon = look.verdict is OrderVerdict.OK or was_reachable
                 delay_ms = POLL_DELAY_MS if repeats_soon else RETRY_MS
                 self._polling_ids.add(executor.id)
 
                 def poll_again() -> None:
                     self._polling_ids.discard(executor.id)
-                    if current.wants_look and executor.id in (
+                    if current.needs_poll and executor.id in (
                         self.scheduler.executors_by_id
                     ):
                         self._poll_executor(current)
@@ -513,7 +521,7 @@
         self._client.poll(
             executor.entry,
             self.scheduler.fence,
-            executor.acknowledged,
+            executor.acknowledged_sequence,
             deadline_ms,
             POLL_WAIT_MS if holds_open else 0,
             on_poll_reply,
@@ -522,7 +530,7 @@
     # Progress records
 
     def _write_changes(self) -> None:
-        changed = self.scheduler.changed
+        changed = self.scheduler.unsaved_by_id
         while changed and self._active_writes < MAX_CONCURRENT_WRITES:
             batch = [
                 live for key, live in changed.items() if key not in self._ids_in_write
@@ -539,18 +547,18 @@
         for live in batch:
             submission_id = live.submission.id
             key = submission_key(submission_id)
-            self.scheduler.changed.pop(submission_id, None)
+            self.scheduler.unsaved_by_id.pop(submission_id, None)
             self._ids_in_write.add(submission_id)
             versions.append((live, live.version))
             conditions.append((key + PROGRESS_SUFFIX, live.progress_revision))
-            if live.final:
-                value = encode_final_state(live.final, live.submission.queue)
+            if live.final_state:
+                value = encode_final_state(live.final_state, live.submission.queue)
                 puts.append((key + FINAL_SUFFIX, value, 0))
                 deletes += [key, key + CANCEL_SUFFIX]
                 if live.progress_revision:
                     deletes.append(key + PROGRESS_SUFFIX)
             else:
-                value = encode_progress(live.progress())
+                value = encode_progress(live.build_progress())
                 puts.append((key + PROGRESS_SUFFIX, value, 0))
         self._active_writes += 1
         self._store.write(
@@ -576,7 +584,7 @@
             return
         for live, _ in versions:
             if not live.final_stored:
-                self.scheduler.changed[live.submission.id] = live
+                self.scheduler.unsaved_by_id[live.submission.id] = live
         if reply.outcome is Outcome.CONFLICT:
             self._on_conflict(versions, reply)
         else:
--- a/src/cranberrywheel/node/maintenance.py
+++ b/src/cranberrywheel/node/maintenance.py
@@ -10,16 +10,16 @@
 from cranberrywheel.node.watch import PrefixWatch
 from cranberrywheel.platform import machines as wire
 from cranberrywheel.platform.store import Item, Store, Write
-from cranberrywheel.submission.demand import pressure_by_service
+from cranberrywheel.submission.demand import compute_pressure_by_service
 from cranberrywheel.submission.executor import Executor
-from cranberrywheel.submission.machines import DutyVerdict, Machine
-from cranberrywheel.submission.scheduler import Scheduler
-from cranberrywheel.submission.upkeep import (
+from cranberrywheel.submission.machines import Machine, MachineOrderVerdict
+from cranberrywheel.submission.maintenance import (
     WaveState,
-    choose_machines,
-    is_empty_enough,
-    runs_to_move,
+    choose_machines_to_drain,
+    choose_runs_to_move,
+    may_begin_maintenance,
 )
+from cranberrywheel.submission.scheduler import Scheduler
 
 #: Interval between steps, which each read the list of machines.
 STEP_INTERVAL_MS = 400
@@ -54,7 +54,7 @@
         self._stopped = False
         # An order that the previous leader sent may still be in effect until then.
         self._first_order_ms = (
-            loop.clock.now_ms() + scheduler.bounds.duty_lease_ms + RETRY_MS
+            loop.clock.now_ms() + scheduler.timing.order_lease_ms + RETRY_MS
         )
         self._pool_moves = PoolMoveController(loop, store, client, scheduler)
         self._wave_watch = PrefixWatch(loop, store, wire.WAVE_PREFIX, self._on_wave)
@@ -90,14 +90,14 @@
         if wave is None:
             return
         state = WaveState(wave, self._loop.clock.now_ms())
-        state.done = set(self._recorded_done_by_key.get(item.key, ()))
+        state.begun = set(self._recorded_done_by_key.get(item.key, ()))
         self._state_by_key[item.key] = state
-        self._scheduler.upkeep_due.update(state.left())
+        self._scheduler.maintenance_due.update(state.list_remaining())
         _log.event(
             "maintenance wave received",
             wave=wave.number,
             machines=len(wave.machines),
-            at_once=wave.at_once,
+            at_once=wave.max_concurrent,
             duration_ms=wave.duration_ms,
         )
 
@@ -116,7 +116,7 @@
             reserved = {
                 machine
                 for state in self._state_by_key.values()
-                for machine in state.left()
+                for machine in state.list_remaining()
             }
             self._pool_moves.advance(
                 machines, self._map_executors_by_machine(), reserved
@@ -137,17 +137,17 @@
         executors = self._map_executors_by_machine()
         if now_ms < self._first_order_ms or not self._has_valid_lease():
             return
-        for machine_id in choose_machines(
+        for machine_id in choose_machines_to_drain(
             state,
             self._machine_by_id,
             executors,
-            pressure_by_service(self._scheduler),
-            self._scheduler.bounds.upkeep_ms,
+            compute_pressure_by_service(self._scheduler),
+            self._scheduler.timing.maintenance_ms,
             now_ms,
         ):
-            state.emptying_since_ms[machine_id] = now_ms
+            state.draining_since_ms[machine_id] = now_ms
             _log.event("draining machine", wave=state.wave.number, machine=machine_id)
-        for machine_id, since_ms in list(state.emptying_since_ms.items()):
+        for machine_id, since_ms in list(state.draining_since_ms.items()):
             executor = executors.get(machine_id)
             if executor is not None:
                 executor.cordoned = True
@@ -156,14 +156,14 @@
                     for other in self._scheduler.executors_by_id.values()
                     if other.entry.service == executor.entry.service
                 ]
-                for run in runs_to_move(executor, pool, now_ms):
+                for run in choose_runs_to_move(executor, pool, now_ms):
                     self._scheduler.stop_run(run, now_ms, "planned maintenance")
-            if machine_id not in state.ordered and is_empty_enough(
+            if machine_id not in state.orders_in_flight and may_begin_maintenance(
                 executor, since_ms, now_ms
             ):
                 self._order_maintenance(key, state, machine_id)
         self._log_waiting(state)
-        state.note_present(self._machine_by_id, now_ms)
+        state.update_presence(self._machine_by_id, now_ms)
         if state.is_finished(now_ms) and not state.completed:
             state.completed = True
         self._store_status(key, state)
@@ -172,8 +172,8 @@
         """Log the machines that a wave waits for, if they have changed."""
         waiting = {
             machine_id: machine.state.value if machine else "gone"
-            for machine_id in state.left()
-            if not (machine := self._machine_by_id.get(machine_id)) or not machine.up
+            for machine_id in state.list_remaining()
+            if not (machine := self._machine_by_id.get(machine_id)) or not machine.is_up
         }
         if waiting != state.logged_waiting:
             state.logged_waiting = waiting
@@ -181,10 +181,10 @@
             _log.event("wave waits for machines", wave=state.wave.number, machines=text)
 
     def _order_maintenance(self, key: str, state: WaveState, machine_id: str) -> None:
-        state.ordered.add(machine_id)
+        state.orders_in_flight.add(machine_id)
         executor = self._map_executors_by_machine().get(machine_id)
 
-        def on_reply(verdict: DutyVerdict) -> None:
+        def on_reply(verdict: MachineOrderVerdict) -> None:
             _log.event(
                 "maintenance ordered",
                 wave=state.wave.number,
@@ -192,37 +192,44 @@
                 outcome=verdict.value,
                 fence=self._scheduler.fence,
             )
-            if verdict is DutyVerdict.OK or verdict is DutyVerdict.OTHER_WAVE:
-                state.done.add(machine_id)
-                state.emptying_since_ms.pop(machine_id, None)
-                self._scheduler.upkeep_due.discard(machine_id)
-                if verdict is DutyVerdict.OK and executor is not None:
-                    self._scheduler.mark_dead(executor.id, self._loop.clock.now_ms())
+            if (
+                verdict is MachineOrderVerdict.OK
+                or verdict is MachineOrderVerdict.OTHER_WAVE
+            ):
+                state.begun.add(machine_id)
+                state.draining_since_ms.pop(machine_id, None)
+                self._scheduler.maintenance_due.discard(machine_id)
+                if verdict is MachineOrderVerdict.OK and executor is not None:
+                    self._scheduler.mark_terminated(
+                        executor.id, self._loop.clock.now_ms()
+                    )
                 self._store_progress(key, state)
-            elif verdict is DutyVerdict.BUSY:
+            elif verdict is MachineOrderVerdict.BUSY:
                 self._stop_draining(state, machine_id)
-            self._loop.after(RETRY_MS, lambda: state.ordered.discard(machine_id))
+            self._loop.after(
+                RETRY_MS, lambda: state.orders_in_flight.discard(machine_id)
+            )
 
         self._client.begin_maintenance(
             machine_id, state.wave.number, self._scheduler.fence, on_reply
         )
 
     def _stop_draining(self, state: WaveState, machine_id: str) -> None:
-        state.emptying_since_ms.pop(machine_id, None)
+        state.draining_since_ms.pop(machine_id, None)
         executor = self._map_executors_by_machine().get(machine_id)
         if executor is not None:
             executor.cordoned = False
 
     def _store_progress(self, key: str, state: WaveState) -> None:
         name = key[len(wire.WAVE_PREFIX) :]
-        value = json.dumps(sorted(state.done)).encode()
+        value = json.dumps(sorted(state.begun)).encode()
         self._write(WAVE_PROGRESS_PREFIX + name, value)
 
     def _store_status(self, key: str, state: WaveState) -> None:
         name = key[len(wire.WAVE_PREFIX) :]
         value = wire.encode_wave_status(state.completed)
-        if state.reported != value:
-            state.reported = value
+        if state.reported_status != value:
+            state.reported_status = value
             self._write(wire.WAVE_STATUS_PREFIX + name, value)
 
     def _write(self, key: str, value: bytes) -> None:
--- a/src/cranberrywheel/node/pool_moves.py
+++ b/src/cranberrywheel/node/pool_moves.py
@@ -8,16 +8,16 @@
 from cranberrywheel.node.keys import HOME_POOLS_KEY, LEADER_KEY
 from cranberrywheel.platform.machines import MachineClient
 from cranberrywheel.platform.store import Outcome, Store, StoreReply, Write
-from cranberrywheel.submission.demand import demand_by_service
+from cranberrywheel.submission.demand import compute_demand_by_service
 from cranberrywheel.submission.executor import Executor
-from cranberrywheel.submission.machines import DutyVerdict, Machine
-from cranberrywheel.submission.pool_sizes import (
-    PoolState,
+from cranberrywheel.submission.machines import Machine, MachineOrderVerdict
+from cranberrywheel.submission.maintenance import choose_runs_to_move
+from cranberrywheel.submission.pool_sizing import (
+    PoolSizingState,
     decide_moves,
-    is_lent,
+    is_borrowed,
 )
 from cranberrywheel.submission.scheduler import Scheduler
-from cranberrywheel.submission.upkeep import runs_to_move
 
 #: Time after which a move that does not appear in the list of machines is abandoned.
 MOVE_TIMEOUT_MS = 6_000
@@ -41,7 +41,7 @@
         self._store = store
         self._client = client
         self._scheduler = scheduler
-        self._state = PoolState()
+        self._state = PoolSizingState()
         self._loaded = False
         self._stored_home_count = 0
         self._ordered_ms_by_machine: dict[str, int] = {}
@@ -55,7 +55,7 @@
                 return
             if reply.outcome is Outcome.OK:
                 home_by_machine = json.loads(reply.items[0].value or b"{}")
-                self._state.home_by_machine.update(home_by_machine)
+                self._state.home_pool_by_machine.update(home_by_machine)
                 self._stored_home_count = len(home_by_machine)
             self._loaded = True
 
@@ -78,7 +78,7 @@
         state = self._state
         for machine_id, ordered_ms in list(self._ordered_ms_by_machine.items()):
             if now_ms - ordered_ms > MOVE_TIMEOUT_MS:
-                state.moving.pop(machine_id, None)
+                state.destination_by_machine.pop(machine_id, None)
                 del self._ordered_ms_by_machine[machine_id]
         standby = {s.name for s in configuration.services_by_name.values() if s.standby}
 
@@ -90,15 +90,15 @@
             state,
             machines,
             standby,
-            demand_by_service(self._scheduler),
+            compute_demand_by_service(self._scheduler),
             reserved,
             is_idle,
             now_ms,
         )
         self._store_homes()
-        lent = {machine.id for machine in machines if is_lent(state, machine)}
-        self._scheduler.lent_machines = lent | set(state.moving)
-        for machine_id in decision.empty:
+        lent = {machine.id for machine in machines if is_borrowed(state, machine)}
+        self._scheduler.borrowed_machines = lent | set(state.destination_by_machine)
+        for machine_id in decision.drain:
             self._drain(executors_by_machine.get(machine_id), now_ms)
         for machine_id, pool in decision.moves:
             self._order_move(machine_id, pool, executors_by_machine.get(machine_id))
@@ -112,7 +112,7 @@
             for other in self._scheduler.executors_by_id.values()
             if other.entry.service == executor.entry.service
         ]
-        for run in runs_to_move(executor, pool, now_ms):
+        for run in choose_runs_to_move(executor, pool, now_ms):
             self._scheduler.stop_run(run, now_ms, "its machine moves to another pool")
 
     def _order_move(
@@ -122,7 +122,7 @@
         if executor is not None:
             executor.cordoned = True
 
-        def on_reply(verdict: DutyVerdict) -> None:
+        def on_reply(verdict: MachineOrderVerdict) -> None:
             _log.event(
                 "machine move ordered",
                 machine=machine_id,
@@ -130,18 +130,20 @@
                 outcome=verdict.value,
                 fence=self._scheduler.fence,
             )
-            if verdict is DutyVerdict.OK:
+            if verdict is MachineOrderVerdict.OK:
                 if executor is not None:
-                    self._scheduler.mark_dead(executor.id, self._loop.clock.now_ms())
-            elif verdict is not DutyVerdict.UNKNOWN:
-                self._state.moving.pop(machine_id, None)
+                    self._scheduler.mark_terminated(
+                        executor.id, self._loop.clock.now_ms()
+                    )
+            elif verdict is not MachineOrderVerdict.UNKNOWN:
+                self._state.destination_by_machine.pop(machine_id, None)
                 if executor is not None:
                     executor.cordoned = False
 
         self._client.move(machine_id, pool, self._scheduler.fence, on_reply)
 
     def _store_homes(self) -> None:
-        home_by_machine = self._state.home_by_machine
+        home_by_machine = self._state.home_pool_by_machine
         if len(home_by_machine) == self._stored_home_count:
             return
         self._stored_home_count = len(home_by_machine)
--- a/src/cranberrywheel/platform/settings.py
+++ b/src/cranberrywheel/platform/settings.py
@@ -6,7 +6,7 @@
 import pydantic
 
 from cranberrywheel.errors import SettingsError
-from cranberrywheel.submission.bounds import Bounds
+from cranberrywheel.submission.platform_timing import PlatformTiming
 
 #: Environment variable with the path of the settings file.
 SETTINGS_VARIABLE = "CRANBERRYWHEEL_BOOT"
@@ -16,9 +16,9 @@
     model_config = pydantic.ConfigDict(extra="ignore", populate_by_name=True)
 
 
-class _Bounds(_WireModel):
+class _Timing(_WireModel):
     grace_s: float = pydantic.Field(6, alias="gracePeriodS")
-    duty_lease_ms: int = pydantic.Field(3000, alias="leaseDurationMs")
+    order_lease_ms: int = pydantic.Field(3000, alias="leaseDurationMs")
     maintenance_s: float = pydantic.Field(2, alias="maintenanceS")
 
 
@@ -51,7 +51,7 @@
     listen: _Listen = pydantic.Field(alias="listenAddrs")
     ports: list[int] = pydantic.Field(alias="internalPorts")
     heartbeat_ms: int = pydantic.Field(1500, alias="heartbeatIntervalMs")
-    bounds: _Bounds = pydantic.Field(default_factory=_Bounds)
+    bounds: _Timing = pydantic.Field(default_factory=_Timing)
     limits: _Limits = pydantic.Field(default_factory=_Limits)
     advisor: str | None = None
     store: _Store = pydantic.Field(alias="platform")
@@ -76,7 +76,7 @@
     :param heartbeat_ms: heartbeat interval that the platform sets.
     :param cores: processor capacity of the instance, in cores of the reference machine.
     :param link_mbps: bandwidth of the instance's network link, in Mbit/s.
-    :param bounds: time limits that the platform sets.
+    :param timing: time limits that the platform sets.
     """
 
     node: str
@@ -91,7 +91,7 @@
     heartbeat_ms: int
     cores: float
     link_mbps: float
-    bounds: Bounds
+    timing: PlatformTiming
 
 
 def load_settings(path: str | None = None) -> NodeSettings:
@@ -124,7 +124,7 @@
         ) from None
     if not wire.ports:
         raise SettingsError(f"{path}: internalPorts is empty.", "List two ports.")
-    bounds = wire.bounds
+    timing = wire.bounds
     return NodeSettings(
         node=wire.node,
         ip=wire.ip,
@@ -138,9 +138,9 @@
         heartbeat_ms=wire.heartbeat_ms,
         cores=wire.limits.cpu_share * wire.limits.cpu_speed,
         link_mbps=wire.limits.link_mbps,
-        bounds=Bounds(
-            grace_ms=int(bounds.grace_s * 1000),
-            duty_lease_ms=bounds.duty_lease_ms,
-            upkeep_ms=int(bounds.maintenance_s * 1000),
+        timing=PlatformTiming(
+            grace_ms=int(timing.grace_s * 1000),
+            order_lease_ms=timing.order_lease_ms,
+            maintenance_ms=int(timing.maintenance_s * 1000),
         ),
     )
--- a/src/cranberrywheel/submission/live.py
+++ b/src/cranberrywheel/submission/live.py
@@ -1,51 +1,61 @@
-"""State of the submissions that are not finished: tasks and their runs."""
+"""State of live submissions, which are accepted and not finished: tasks and runs."""
 
 import dataclasses
 import enum
 import typing as t
 
-from cranberrywheel.submission.model import Queue, State, Step, Submission
+from cranberrywheel.submission.model import Queue, Step, Submission, SubmissionState
 from cranberrywheel.submission.record import Progress
 
 
 class RunState(enum.Enum):
     """State of a run as the leader knows it.
 
-    ``DOUBTFUL``: a start got no answer. ``STOPPING``: a stop was ordered.
+    ``STARTING``: the start is not answered yet. ``UNCONFIRMED``: the start got no
+    answer, so the run may exist. ``STOPPING``: the leader has ordered a stop.
     """
 
     STARTING = "starting"
-    DOUBTFUL = "doubtful"
+    UNCONFIRMED = "doubtful"
     RUNNING = "running"
     STOPPING = "stopping"
 
 
 class Run:
-    """One start of a task on one executor.
-
-    :ivar changed_ms: when ``percent`` last changed.
-    :ivar slow: its progress has been counted against its executor.
-    :ivar paced: share of its speed that it may work at.
+    """One execution of a task on one executor. Times are steady milliseconds.
+
+    :ivar number: number of the run; rises from run to run of a task.
+    :ivar rack: rack of the executor when the run started.
+    :ivar percent: progress; 100 means that a long-running task is available.
+    :ivar last_progress_ms: when ``percent`` last changed.
+    :ivar load: last reading, see :class:`.executor_orders.RunningReport`.
+    :ivar over_limit_since_ms: since when the latency of a latency-sensitive run is over
+        its limit; 0 while it is not.
+    :ivar speed_percent: speed that the run is throttled to; 100 is full speed.
+    :ivar speed_changed_ms: when ``speed_percent`` last changed.
+    :ivar stop_sent_ms: when the last stop order was sent.
     :ivar stop_confirmed_ms: when the executor confirmed the stop; 0 if not yet.
+    :ivar slowness_recorded: its slow progress has been counted as a fault of its
+        executor.
     """
 
     __slots__ = (
-        "changed_ms",
+        "last_progress_ms",
         "executor_id",
         "load",
         "number",
-        "over_since_ms",
-        "paced",
-        "paced_ms",
+        "over_limit_since_ms",
+        "speed_percent",
+        "speed_changed_ms",
         "percent",
         "rack",
-        "slow",
+        "slowness_recorded",
         "started_ms",
         "state",
         "stop_confirmed_ms",
         "stop_sent_ms",
         "task",
-        "why_stopped",
+        "stop_reason",
     )
 
     def __init__(self, task: "Task", number: int, executor_id: str, now_ms: int):
@@ -56,68 +66,78 @@
         self.state = RunState.STARTING
         self.started_ms = now_ms
         self.percent = 0.0
-        self.changed_ms = now_ms
+        self.last_progress_ms = now_ms
         self.load = 0.0
-        self.over_since_ms = 0
-        self.paced = 100
-        self.paced_ms = 0
+        self.over_limit_since_ms = 0
+        self.speed_percent = 100
+        self.speed_changed_ms = 0
         self.stop_sent_ms = 0
         self.stop_confirmed_ms = 0
-        self.why_stopped = ""
-        self.slow = False
+        self.stop_reason = ""
+        self.slowness_recorded = False
 
     @property
     def key(self) -> tuple[str, int]:
-        """Name of the task and number of the run."""
+        """Name of the task and number of the run, as executors identify it."""
         return self.task.name, self.number
 
 
 class Task:
-    """One task with its runs; copies may run side by side in speculative steps."""
+    """A task and its runs; tasks of speculative steps may have several at once.
+
+    :ivar index: position within the step.
+    :ivar name: ``ID.OCCURRENCE.STEP.INDEX``, see :func:`parse_task_name`.
+    :ivar failed_runs: numbers of the runs that ended as failed.
+    :ivar last_run_number: highest number of a run so far.
+    :ivar checkpoint: last saved checkpoint, from which the next run resumes.
+    :ivar avoid_until_ms_by_executor: until when the task should not start on an
+        executor.
+    """
 
     __slots__ = (
         "avoid_until_ms_by_executor",
-        "away_since_ms",
+        "unavailable_since_ms",
         "checkpoint",
         "done",
         "failed_runs",
         "index",
-        "last_number",
+        "last_run_number",
         "name",
         "runs",
         "step_run",
-        "work_since_ms",
+        "available_since_ms",
     )
 
     def __init__(self, step_run: "StepRun", index: int) -> None:
         self.step_run = step_run
         self.index = index
-        live = step_run.live.submission
-        self.name = f"{live.id}.{step_run.occurrence}.{step_run.number}.{index}"
+        submission = step_run.live.submission
+        self.name = f"{submission.id}.{step_run.occurrence}.{step_run.number}.{index}"
         self.runs: list[Run] = []
         self.done = False
         self.failed_runs: set[int] = set()
-        self.last_number = 0
+        self.last_run_number = 0
         self.checkpoint = ""
         self.avoid_until_ms_by_executor: dict[str, int] = {}
-        #: Since when a lasting task is at work; 0 while it is not.
-        self.work_since_ms = 0
-        self.away_since_ms = 0
+        #: Since when a long-running task is available; 0 while it is not.
+        self.available_since_ms = 0
+        self.unavailable_since_ms = 0
 
 
 class StepRun:
     """A step of one occurrence of a submission.
 
-    :ivar waiting: tasks without a run that are not done, by index; changed only
-        through the methods, which keep the submission's list of ready steps.
-    :ivar begin_version: version of the record that says that the step begins; 0
-        before.
-    :ivar begun_before: an earlier leader may have started tasks of it.
+    :ivar number: position within the submission.
+    :ivar waiting: tasks that wait for a start, by index; changed only through the
+        methods, which invalidate the submission's cached list of ready steps.
+    :ivar begin_record_version: version of the submission's record that states that the
+        step has begun; 0 until it begins.
+    :ivar may_have_begun: an earlier leader may have started tasks of it.
     """
 
     __slots__ = (
-        "begin_version",
-        "begun_before",
+        "begin_record_version",
+        "may_have_begun",
         "done_count",
         "live",
         "number",
@@ -135,12 +155,12 @@
         self.tasks = [Task(self, index) for index in range(self.step.count)]
         self.waiting = {task.index: task for task in self.tasks}
         self.done_count = 0
-        self.begin_version = 0
-        self.begun_before = False
+        self.begin_record_version = 0
+        self.may_have_begun = False
 
     @property
     def name(self) -> str:
-        """Submission, occurrence and step."""
+        """``ID.OCCURRENCE.STEP``."""
         return f"{self.live.submission.id}.{self.occurrence}.{self.number}"
 
     @property
@@ -149,50 +169,57 @@
         return self.done_count == len(self.tasks)
 
     def mark_done(self, task: Task) -> None:
-        """Note that a task is done."""
+        """Mark a task as done and drop it from the waiting tasks."""
         if not task.done:
             task.done = True
             self.done_count += 1
             self.waiting.pop(task.index, None)
-            self.live.forget_derived()
+            self.live.invalidate_derived()
 
     def add_waiting(self, task: Task) -> None:
-        """Let a task wait for a start."""
+        """Add a task that waits for a start."""
         if not self.waiting:
-            self.live.forget_derived()
+            self.live.invalidate_derived()
         self.waiting[task.index] = task
 
     def remove_waiting(self, task: Task) -> None:
-        """Note that a task waits no more."""
+        """Remove a task that no longer waits for a start."""
         self.waiting.pop(task.index, None)
         if not self.waiting:
-            self.live.forget_derived()
+            self.live.invalidate_derived()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Remaining:
+class RemainingWork:
     """Remaining work of a submission.
 
-    :param chain_ms: duration of its longest chain of steps.
-    :param whole_chain_ms: the same with what is done already.
-    :param core_ms: core-milliseconds.
+    :param critical_path_ms: duration of the longest chain of unfinished steps, in
+        milliseconds.
+    :param total_critical_path_ms: the same over all steps, finished ones included.
+    :param core_ms: processor time of the unfinished tasks, in core-milliseconds.
     """
 
-    chain_ms: float
-    whole_chain_ms: float
+    critical_path_ms: float
+    total_critical_path_ms: float
     core_ms: float
 
 
 class LiveSubmission:
-    """A submission that is not finished.
-
-    :ivar started: a run of it has certainly been at an executor.
-    :ivar version: rises with each change that must be stored.
-    :ivar stored_version: version that the store is known to hold.
-    :ivar recovered: read from the store at a take-over, so that tasks of it may
-        already run where the leader has not looked yet.
-    :ivar declared_remaining: remaining work by declared durations; ``None`` until it
-        is asked for after a change.
+    """A submission that is accepted and not finished.
+
+    :ivar recovered: it was read from the store at a takeover, so tasks of it may
+        already run on executors that the leader has not polled yet.
+    :ivar started: an executor has certainly started a run of it.
+    :ivar final_state: state in which it ended; ``None`` until then.
+    :ivar final_stored: the store holds the final state.
+    :ivar version: incremented with each change that must be stored.
+    :ivar stored_version: latest version that the store is known to hold.
+    :ivar progress_revision: store revision of its progress record; 0 for none.
+    :ivar begun_occurrences: number of occurrences whose steps were created.
+    :ivar step_runs: steps by occurrence and number.
+    :ivar run_count: number of runs that may be on executors.
+    :ivar declared_remaining: cached remaining work by declared durations; ``None``
+        after a change.
     """
 
     def __init__(self, submission: Submission, queue: Queue, recovered: bool) -> None:
@@ -201,7 +228,7 @@
         self.recovered = recovered
         self.started = False
         self.cancelled = False
-        self.final: State | None = None
+        self.final_state: SubmissionState | None = None
         self.final_stored = False
         self.version = 0
         self.stored_version = 0
@@ -209,22 +236,22 @@
         self.begun_occurrences = 0
         self.step_runs: dict[tuple[int, int], StepRun] = {}
         self.run_count = 0
-        self.lasts = any(step.long_running for step in submission.steps)
-        self.declared_remaining: Remaining | None = None
+        self.has_long_running_step = any(step.long_running for step in submission.steps)
+        self.declared_remaining: RemainingWork | None = None
         self._ready_steps: tuple[StepRun, ...] | None = None
 
-    def forget_derived(self) -> None:
-        """Work ready steps and remaining work out again when they are asked for."""
+    def invalidate_derived(self) -> None:
+        """Clear the cached ready steps and remaining work after a change."""
         self._ready_steps = None
         self.declared_remaining = None
 
     @property
     def has_waiting(self) -> bool:
-        """Whether any task has no run and is not done."""
+        """Whether any task waits for a start."""
         return any(step_run.waiting for step_run in self.step_runs.values())
 
-    def ready_steps(self) -> tuple[StepRun, ...]:
-        """Return the steps with waiting tasks whose earlier steps are done."""
+    def list_ready_steps(self) -> tuple[StepRun, ...]:
+        """Return the steps with waiting tasks whose predecessors are done."""
         if self._ready_steps is None:
             self._ready_steps = tuple(
                 step_run
@@ -235,12 +262,12 @@
 
     @property
     def occurrences(self) -> int:
-        """How many times the steps run."""
+        """Number of times that the steps run."""
         schedule = self.submission.schedule
         return schedule.repeat_count if schedule else 1
 
-    def due_ms(self, occurrence: int) -> int:
-        """Return the Unix time from which an occurrence may start."""
+    def get_due_ms(self, occurrence: int) -> int:
+        """Return the Unix time in milliseconds from which an occurrence may start."""
         schedule = self.submission.schedule
         if schedule is None:
             return 0
@@ -250,12 +277,12 @@
         """Create the steps of the next occurrence."""
         occurrence = self.begun_occurrences
         self.begun_occurrences += 1
-        self.forget_derived()
+        self.invalidate_derived()
         for number in range(len(self.submission.steps)):
             self.step_runs[occurrence, number] = StepRun(self, occurrence, number)
 
     def is_ready(self, step_run: StepRun) -> bool:
-        """Whether all steps that come before a step are done."""
+        """Tell whether all predecessors of a step are done."""
         return all(
             self.step_runs[step_run.occurrence, earlier].is_done
             for earlier in step_run.step.after
@@ -268,16 +295,22 @@
             step_run.is_done for step_run in self.step_runs.values()
         )
 
-    def state(self) -> State:
-        """Return the state that callers may see."""
+    def get_visible_state(self) -> SubmissionState:
+        """Return the state that callers see.
+
+        A final state other than ``CANCELLED`` shows only once it is stored.
+        """
         if self.cancelled:
-            return State.CANCELLED
-        if self.final and self.final_stored:
-            return self.final
-        return State.RUNNING if self.started else State.PENDING
+            return SubmissionState.CANCELLED
+        if self.final_state and self.final_stored:
+            return self.final_state
+        return SubmissionState.RUNNING if self.started else SubmissionState.PENDING
 
     def find_task(self, occurrence: int, step: int, index: int) -> Task | None:
-        """Return a task, beginning occurrences up to its own."""
+        """Return a task, or ``None`` if the submission has none of these numbers.
+
+        Occurrences up to that of the task are begun.
+        """
         if not (0 <= occurrence < self.occurrences and 0 <= step):
             return None
         if step >= len(self.submission.steps):
@@ -293,15 +326,15 @@
             yield from step_run.tasks
 
     def runs(self) -> t.Iterator[Run]:
-        """Iterate over all runs."""
+        """Iterate over the runs of all tasks."""
         for task in self.tasks():
             yield from task.runs
 
-    def progress(self) -> Progress:
-        """Return what the store has to keep."""
+    def build_progress(self) -> Progress:
+        """Return the progress that must be stored."""
         progress = Progress()
         for (occurrence, number), step_run in self.step_runs.items():
-            if step_run.begin_version or step_run.begun_before:
+            if step_run.begin_record_version or step_run.may_have_begun:
                 progress.begun_steps.append(f"{occurrence}.{number}")
             if step_run.done_count:
                 progress.done_by_step[f"{occurrence}.{number}"] = [
@@ -320,13 +353,14 @@
 
     def restore(self, progress: Progress) -> None:
         """Apply a stored progress record."""
-        # A step is marked as begun before its first start, which may still fail.
+        # The begun steps do not count: a step is recorded as begun before its first
+        # start, which may still fail.
         self.started = bool(progress.done_by_step or progress.failed_runs_by_task)
         for key in progress.begun_steps:
             occurrence, number = map(int, key.split("."))
             task = self.find_task(occurrence, number, 0)
             if task is not None:
-                task.step_run.begun_before = True
+                task.step_run.may_have_begun = True
         for key, indices in progress.done_by_step.items():
             occurrence, number = map(int, key.split("."))
             for index in indices:
@@ -344,7 +378,10 @@
 
 
 def parse_task_name(name: str) -> tuple[str, int, int, int] | None:
-    """Split ``ID.OCCURRENCE.STEP.INDEX``; ``None`` if it is none."""
+    """Split a task name of the form ``ID.OCCURRENCE.STEP.INDEX``.
+
+    :returns: ``None`` for any other form.
+    """
     parts = name.split(".")
     if len(parts) != 4 or not all(part.isdecimal() for part in parts[1:]):
         return None
--- a/src/cranberrywheel/submission/machines.py
+++ b/src/cranberrywheel/submission/machines.py
@@ -1,4 +1,4 @@
-"""Machines, the waves of their upkeep, and the answers to duty orders."""
+"""Machines, their maintenance waves and the platform's answers to machine orders."""
 
 import dataclasses
 import enum
@@ -6,27 +6,37 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wave:
-    """Machines whose upkeep is due within a time, at most ``at_once`` together."""
+    """Machines that need maintenance within a time.
+
+    :param duration_ms: time within which the maintenance of all of them is due.
+    :param max_concurrent: most machines that may be down for the wave at once.
+    """
 
     number: int
     machines: tuple[str, ...]
     duration_ms: int
-    at_once: int
+    max_concurrent: int
 
 
 class MachineState(enum.Enum):
-    """State of a machine; ``OTHER`` stands for one that is not known here."""
+    """State of a machine.
+
+    ``OTHER`` stands for any state that this version does not know.
+    """
 
     UP = "up"
     MOVING = "moving"
-    UPKEEP = "upkeep"
+    MAINTENANCE = "upkeep"
     DOWN = "down"
     OTHER = "other"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Machine:
-    """One machine; ``executor_id`` is empty while none runs on it."""
+    """A machine of the platform.
+
+    :param executor_id: id of the executor on the machine, or ``""`` for none.
+    """
 
     id: str
     pool: str
@@ -35,13 +45,19 @@
     executor_id: str
 
     @property
-    def up(self) -> bool:
-        """Whether the machine can take an order."""
+    def is_up(self) -> bool:
+        """Whether the machine accepts orders."""
         return self.state is MachineState.UP
 
 
-class DutyVerdict(enum.Enum):
-    """How the platform answered a duty order."""
+class MachineOrderVerdict(enum.Enum):
+    """Platform's answer to a maintenance or move order for a machine.
+
+    ``FENCED``: a newer leader has sent an order. ``BUSY``: the machine cannot take the
+    order now. ``OTHER_WAVE``: the machine belongs to another wave, so it needs nothing
+    more for this one. ``REFUSED``: the order had no effect. ``UNKNOWN``: it may have
+    been or may yet be carried out.
+    """
 
     OK = "ok"
     FENCED = "fenced"
--- /dev/null
+++ b/src/cranberrywheel/submission/pool_sizing.py
@@ -0,0 +1,275 @@
+"""Sizing of pools: which machines move from one pool to another.
+
+Load pattern: each queue in turn has a burst, in which it demands more than its pool
+holds for a few seconds; in between it demands a twentieth of that. Machines of the
+standby pool join a pool for its queue's burst and return afterwards. An idle pool keeps
+enough machines to survive the loss of a rack or availability zone during maintenance,
+and switches the others off until its next burst.
+"""
+
+import dataclasses
+import math
+import typing as t
+
+from cranberrywheel.submission.machines import Machine, MachineState
+
+#: Waiting cpu, as a fraction of a pool's capacity, from which it borrows machines.
+BORROW_THRESHOLD = 0.25
+#: Machines borrowed for each machine's worth of waiting cpu. Part of the backlog is
+#: gone by the time that they are up; borrowing for all of it costs 40 more moves a day
+#: without serving more.
+BORROW_RATIO = 2 / 3
+#: Pressure below which a pool returns borrowed machines.
+RETURN_PRESSURE = 0.45
+#: How long the pressure must stay low first, since a burst has short gaps.
+RETURN_DELAY_MS = 800
+#: Pressure below which a pool is idle, and how long the pressure must stay low first.
+IDLE_PRESSURE = 0.25
+IDLE_DELAY_MS = 1_500
+#: Fraction of its machines that an idle pool keeps switched on.
+IDLE_KEEP_FRACTION = 0.75
+#: Pressure from which a pool gets its own machines back.
+RESTORE_PRESSURE = 0.3
+#: Pressure at which a burst counts as begun when its period is learned.
+BURST_PRESSURE = 0.6
+#: A pool gets its machines back this long before the expected start of its next burst,
+#: and keeps them this long if the burst does not come.
+BURST_LEAD_MS = 2_500
+BURST_GRACE_MS = 1_500
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class PoolDemand:
+    """Demand of a pool for short work, in thousandths of a core.
+
+    :param used: cpu that runs of short tasks reserve.
+    :param waiting: cpu that ready tasks without a run will reserve.
+    :param capacity: cpu of the usable executors.
+    :param machine_cpu: cpu of the pool's largest machine.
+    """
+
+    used: int = 0
+    waiting: int = 0
+    capacity: int = 0
+    machine_cpu: int = 0
+
+    @property
+    def pressure(self) -> float:
+        """Used and waiting cpu as a fraction of the capacity; above 1 in a burst."""
+        return (self.used + self.waiting) / max(1, self.capacity)
+
+
+@dataclasses.dataclass
+class PoolSizingState:
+    """State that is kept from one decision to the next. Times are steady milliseconds.
+
+    :ivar home_pool_by_machine: pool to which each machine belongs: that in which it was
+        first listed.
+    :ivar low_pressure_since_ms: since when the pressure of a pool is low.
+    :ivar returning: borrowed machines that are drained for their return.
+    :ivar destination_by_machine: new pool of each machine that is moving.
+    :ivar burst_starts_ms: when the last two bursts of each pool began.
+    """
+
+    home_pool_by_machine: dict[str, str] = dataclasses.field(default_factory=dict)
+    low_pressure_since_ms: dict[str, int] = dataclasses.field(default_factory=dict)
+    returning: set[str] = dataclasses.field(default_factory=set)
+    destination_by_machine: dict[str, str] = dataclasses.field(default_factory=dict)
+    burst_starts_ms: dict[str, list[int]] = dataclasses.field(default_factory=dict)
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class PoolDecision:
+    """Decided moves.
+
+    :param moves: machines to move now, each with its new pool.
+    :param drain: machines to drain for a later move.
+    """
+
+    moves: tuple[tuple[str, str], ...]
+    drain: tuple[str, ...]
+
+
+def is_borrowed(state: PoolSizingState, machine: Machine) -> bool:
+    """Tell whether a machine is in another pool than its home pool."""
+    return state.home_pool_by_machine.get(machine.id, machine.pool) != machine.pool
+
+
+def decide_moves(
+    state: PoolSizingState,
+    machines: t.Sequence[Machine],
+    standby_pools: t.Container[str],
+    demand_by_pool: t.Mapping[str, PoolDemand],
+    reserved: t.Container[str],
+    is_empty: t.Callable[[Machine], bool],
+    now_ms: int,
+) -> PoolDecision:
+    """Decide which machines move, and record the moves as under way.
+
+    :param standby_pools: names of the pools whose machines are switched off.
+    :param reserved: machines that a maintenance wave still needs where they are.
+    :param is_empty: tells whether nothing runs on a machine.
+    :param now_ms: steady time in milliseconds.
+    """
+    for machine in machines:
+        state.home_pool_by_machine.setdefault(machine.id, machine.pool)
+        if (
+            state.destination_by_machine.get(machine.id) == machine.pool
+            and machine.is_up
+        ):
+            state.destination_by_machine.pop(machine.id)
+    for pool, demand in demand_by_pool.items():
+        _record_pressure(state, pool, demand.pressure, now_ms)
+    missing_by_pool = _count_missing_machines(
+        state, machines, demand_by_pool, standby_pools, now_ms
+    )
+    surplus_by_pool = _count_surplus_machines(
+        state, machines, demand_by_pool, standby_pools, missing_by_pool, now_ms
+    )
+    standby_pool = next(
+        (machine.pool for machine in machines if machine.pool in standby_pools), None
+    )
+    moves: list[tuple[str, str]] = []
+
+    def order_move(machine: Machine, pool: str) -> None:
+        moves.append((machine.id, pool))
+        state.destination_by_machine[machine.id] = pool
+        state.returning.discard(machine.id)
+        if pool in missing_by_pool:
+            missing_by_pool[pool] -= 1
+            if missing_by_pool[pool] <= 0:
+                del missing_by_pool[pool]
+
+    def pool_missing_most() -> str | None:
+        return (
+            max(missing_by_pool, key=lambda pool: missing_by_pool[pool])
+            if missing_by_pool
+            else None
+        )
+
+    for machine in machines:
+        if machine.id in state.destination_by_machine or machine.id in reserved:
+            continue
+        destination = pool_missing_most()
+        if machine.pool in standby_pools:
+            home_pool = state.home_pool_by_machine[machine.id]
+            destination = home_pool if home_pool in missing_by_pool else destination
+            if destination is not None:
+                order_move(machine, destination)
+        elif not is_borrowed(state, machine):
+            if (
+                surplus_by_pool.get(machine.pool, 0) > 0
+                and machine.is_up
+                and is_empty(machine)
+            ):
+                if destination is not None or standby_pool is not None:
+                    surplus_by_pool[machine.pool] -= 1
+                    order_move(machine, destination or t.cast(str, standby_pool))
+        elif is_borrowed(state, machine) and machine.is_up:
+            low_pressure_ms = now_ms - state.low_pressure_since_ms.get(
+                machine.pool, now_ms
+            )
+            if machine.id not in state.returning and low_pressure_ms >= RETURN_DELAY_MS:
+                state.returning.add(machine.id)
+            if machine.id in state.returning and is_empty(machine):
+                order_move(
+                    machine, destination or state.home_pool_by_machine[machine.id]
+                )
+    return PoolDecision(tuple(moves), tuple(sorted(state.returning)))
+
+
+def _record_pressure(
+    state: PoolSizingState, pool: str, pressure: float, now_ms: int
+) -> None:
+    low_pressure_ms = now_ms - state.low_pressure_since_ms.get(pool, now_ms)
+    if pressure >= BURST_PRESSURE and low_pressure_ms >= RETURN_DELAY_MS:
+        state.burst_starts_ms[pool] = [
+            *state.burst_starts_ms.get(pool, [])[-1:],
+            now_ms,
+        ]
+    if pressure >= RETURN_PRESSURE:
+        state.low_pressure_since_ms.pop(pool, None)
+    else:
+        state.low_pressure_since_ms.setdefault(pool, now_ms)
+
+
+def is_burst_expected(state: PoolSizingState, pool: str, now_ms: int) -> bool:
+    """Tell whether a burst of a pool is due, if the last interval repeats."""
+    starts_ms = state.burst_starts_ms.get(pool, [])
+    if len(starts_ms) < 2:
+        return False
+    next_ms = starts_ms[-1] + (starts_ms[-1] - starts_ms[-2])
+    return next_ms - BURST_LEAD_MS <= now_ms <= next_ms + BURST_GRACE_MS
+
+
+def _count_present(
+    state: PoolSizingState, machines: t.Sequence[Machine], pool: str
+) -> int:
+    """Count the machines of a pool that are up, moving to it or back within seconds."""
+    return sum(
+        destination == pool
+        if (destination := state.destination_by_machine.get(machine.id))
+        else machine.pool == pool and machine.state is not MachineState.DOWN
+        for machine in machines
+    )
+
+
+def _count_home_machines(state: PoolSizingState, pool: str) -> int:
+    return sum(home_pool == pool for home_pool in state.home_pool_by_machine.values())
+
+
+def _count_missing_machines(
+    state: PoolSizingState,
+    machines: t.Sequence[Machine],
+    demand_by_pool: t.Mapping[str, PoolDemand],
+    standby_pools: t.Container[str],
+    now_ms: int,
+) -> dict[str, int]:
+    """Return how many machines each pool is missing; no entry means none."""
+    missing_by_pool: dict[str, int] = {}
+    for pool, demand in demand_by_pool.items():
+        if pool in standby_pools or not demand.machine_cpu:
+            continue
+        present_count = _count_present(state, machines, pool)
+        home_count = _count_home_machines(state, pool)
+        missing_count = math.ceil(IDLE_KEEP_FRACTION * home_count) - present_count
+        if demand.pressure >= RESTORE_PRESSURE or is_burst_expected(
+            state, pool, now_ms
+        ):
+            missing_count = home_count - present_count
+        if demand.waiting >= BORROW_THRESHOLD * demand.capacity:
+            moving_count = sum(
+                destination == pool
+                for destination in state.destination_by_machine.values()
+            )
+            borrow_count = math.ceil(BORROW_RATIO * demand.waiting / demand.machine_cpu)
+            borrow_count -= moving_count
+            missing_count = max(missing_count, borrow_count)
+        if missing_count > 0:
+            missing_by_pool[pool] = missing_count
+    return missing_by_pool
+
+
+def _count_surplus_machines(
+    state: PoolSizingState,
+    machines: t.Sequence[Machine],
+    demand_by_pool: t.Mapping[str, PoolDemand],
+    standby_pools: t.Container[str],
+    missing_by_pool: t.Mapping[str, int],
+    now_ms: int,
+) -> dict[str, int]:
+    """Return how many machines each idle pool can switch off or pass on."""
+    surplus_by_pool: dict[str, int] = {}
+    for pool, demand in demand_by_pool.items():
+        low_pressure_ms = now_ms - state.low_pressure_since_ms.get(pool, now_ms)
+        if (
+            pool in standby_pools
+            or pool in missing_by_pool
+            or demand.pressure >= IDLE_PRESSURE
+            or low_pressure_ms < IDLE_DELAY_MS
+            or is_burst_expected(state, pool, now_ms)
+        ):
+            continue
+        keep_count = math.ceil(IDLE_KEEP_FRACTION * _count_home_machines(state, pool))
+        surplus_by_pool[pool] = _count_present(state, machines, pool) - keep_count
+    return surplus_by_pool
--- a/tests/leader_world.py
+++ b/tests/leader_harness.py
@@ -1,4 +1,4 @@
-"""A leader on a virtual store and virtual executors, for regression tests."""
+"""A leader on a simulated store and simulated executors, for regression tests."""
 
 import json
 import typing as t
@@ -12,9 +12,8 @@
 )
 from cranberrywheel.node.leader import Leader
 from cranberrywheel.platform.executors import ExecutorClient
-from cranberrywheel.submission.bounds import Bounds
 from cranberrywheel.submission.model import (
-    NOTHING,
+    NO_RESOURCES,
     Configuration,
     Organisation,
     Queue,
@@ -23,6 +22,7 @@
     Step,
     Submission,
 )
+from cranberrywheel.submission.platform_timing import PlatformTiming
 from cranberrywheel.submission.record import encode_submission
 from cranberrywheel.submission.scheduler import Scheduler
 from cranberrywheel_standin.virtual_fleet import (
@@ -32,13 +32,18 @@
     VirtualStore,
 )
 
-QUEUE = Queue("orders", "shop", "/q/", "pool", attempts=3, goal_factor=1.6, goal_ms=600)
+QUEUE = Queue(
+    "orders", "shop", "/q/", "pool", attempts=3, objective_factor=1.6, objective_ms=600
+)
 
 
 def make_configuration(
-    queues: t.Sequence[Queue] = (QUEUE,), cap: Resources = NOTHING
+    queues: t.Sequence[Queue] = (QUEUE,), quota: Resources = NO_RESOURCES
 ) -> Configuration:
-    """Build a configuration with one organisation, ``org``."""
+    """Build a configuration with one organisation, ``org``.
+
+    :param quota: quota of the organisation; no limit by default.
+    """
     by_host: dict[str, tuple[Queue, ...]] = {}
     for queue in queues:
         by_host[queue.host] = (*by_host.get(queue.host, ()), queue)
@@ -47,7 +52,7 @@
         queues_by_host=by_host,
         queues_by_key={queue.key: queue for queue in queues},
         services_by_name={q.service: Service(q.service) for q in queues},
-        organisations_by_name={"org": Organisation("org", 1.0, cap)},
+        organisations_by_name={"org": Organisation("org", 1.0, quota)},
         organisation_by_api_key={"key": "org"},
     )
 
@@ -71,13 +76,19 @@
 
 
 def make_step(count: int = 1, cpu: int = 1_000, **fields: t.Any) -> Step:
-    """Build a step."""
+    """Build a step; ``fields`` are further fields of :class:`.Step`.
+
+    :param cpu: thousandths of a core that each task uses.
+    """
     fields.setdefault("estimated_ms", 1_000)
     return Step(count=count, size=Resources(cpu, 100, 0), **fields)
 
 
-class LeaderWorld:
-    """A store, executors and at most one leader at a time."""
+class LeaderHarness:
+    """A simulated store and fleet with at most one leader at a time.
+
+    :ivar stepped_down: reasons for which a leader has stepped down.
+    """
 
     def __init__(self, monkeypatch: t.Any, seed: int = 1) -> None:
         self.loop = VirtualLoop()
@@ -90,24 +101,24 @@
         monkeypatch.setattr(leader_module, "unix_ms", self.unix_ms)
 
     def unix_ms(self) -> int:
-        """Time of day."""
+        """Return the simulated time of day in Unix milliseconds."""
         return UNIX_START_MS + self.loop.clock.now_ms()
 
     @property
     def scheduler(self) -> Scheduler:
-        """The scheduler of the present leader."""
+        """Scheduler of the current leader."""
         assert self.leader is not None
         return self.leader.scheduler
 
     def hand_over(self) -> Leader:
-        """Let the leader give up in good order, and a new one take over."""
+        """Stop the leader, store its handover record and start a successor."""
         assert self.leader is not None
         self.leader.stop()
         self.store.put(HANDOVER_KEY, self.leader.handover_record())
-        return self.lead()
+        return self.start_leader()
 
-    def lead(self) -> Leader:
-        """Let a new leader take over; an earlier one is forgotten."""
+    def start_leader(self) -> Leader:
+        """Start a new leader; an earlier one stops without a handover record."""
         previous_fence = 0
         if self.leader:
             self.leader.stop()
@@ -115,7 +126,7 @@
         self._term += 1
         self.store.put(LEADER_KEY, json.dumps({"term": self._term}).encode())
         scheduler = Scheduler(
-            self.store.revision, self._term, Bounds(), self.loop.clock.now_ms()
+            self.store.revision, self._term, PlatformTiming(), self.loop.clock.now_ms()
         )
         scheduler.trusts_records = True
         scheduler.set_configuration(self.configuration)
@@ -135,17 +146,24 @@
         return self.leader
 
     def submit(
-        self, submission: Submission, duration_ms: int = 1_000, lasting: bool = False
+        self,
+        submission: Submission,
+        duration_ms: int = 1_000,
+        long_running: bool = False,
     ) -> None:
-        """Store a submission as an entry does."""
+        """Store a submission as the entry process does.
+
+        :param duration_ms: true duration of each task.
+        :param long_running: tasks run until they are stopped.
+        """
         cpu = submission.steps[0].size.cpu
-        self.fleet.describe(submission.id, cpu, duration_ms, lasting)
+        self.fleet.describe(submission.id, cpu, duration_ms, long_running)
         self.store.put(submission_key(submission.id), encode_submission(submission))
 
     def cancel(self, submission_id: str) -> None:
-        """Store a cancellation as an entry does."""
+        """Store a cancellation as the entry process does."""
         self.store.put(submission_key(submission_id) + CANCEL_SUFFIX, b"{}")
 
     def run_for(self, duration_ms: int) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         self.loop.run_for(duration_ms)
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -68,7 +68,7 @@
     """Guards against an invalid wave that stops all maintenance of a leader."""
     assert decode_wave(b"{}") is None
     wave = {"wave": 2, "machines": ["m"], "durationS": 1.5, "cap": 0}
-    assert decode_wave(json.dumps(wave).encode()).at_once == 1
+    assert decode_wave(json.dumps(wave).encode()).max_concurrent == 1
 
 
 def test_settings_errors_name_the_file_and_the_field(tmp_path, monkeypatch):
