--- a/src/cranberrywheel/node/leader.py
+++ b/src/cranberrywheel/node/leader.py
@@ -106,7 +106,7 @@
         self._loop = loop
         self._store = store
         self._previous_fence = previous_fence
-        self._account = EMPTY_HANDOVER_RECORD
+        self._handover_record = EMPTY_HANDOVER_RECORD
         self._client = client
         self._advisor = advisor
         self._has_valid_lease = has_valid_lease
@@ -156,10 +156,15 @@
             self._loop.after(RETRY_MS, self.start)
             return
         if reply.outcome is Outcome.OK:
-            account = decode_handover_record(reply.items[0].value or b"")
-            if account is not None and account.fence == self._previous_fence:
-                self._account = account
-                prepare_takeover(self.scheduler, account, self._loop.clock.now_ms())
+            handover_record = decode_handover_record(reply.items[0].value or b"")
+            if (
+                handover_record is not None
+                and handover_record.fence == self._previous_fence
+            ):
+                self._handover_record = handover_record
+                prepare_takeover(
+                    self.scheduler, handover_record, self._loop.clock.now_ms()
+                )
         self._read_executors()
 
     def _read_executors(self) -> None:
@@ -217,10 +222,12 @@
             live=len(scheduler.live_by_id),
             fence=scheduler.fence,
             handed_over=scheduler.handed_over,
-            runs=len(self._account.runs),
+            runs=len(self._handover_record.runs),
+        )
+        apply_handover_record(
+            scheduler, self._handover_record, self._loop.clock.now_ms()
         )
-        apply_handover_record(scheduler, self._account, self._loop.clock.now_ms())
-        self._account = EMPTY_HANDOVER_RECORD
+        self._handover_record = EMPTY_HANDOVER_RECORD
         for submission_id in self._cancelled_while_loading:
             scheduler.cancel(submission_id, self._loop.clock.now_ms())
         self._cancelled_while_loading.clear()
@@ -492,20 +499,20 @@
             bool(executor.runs) and executor.fence_confirmed and executor.reachable
         )
 
-        def on_poll_reply(look: PollReply) -> None:
+        def on_poll_reply(reply: PollReply) -> None:
             self._polling_ids.discard(executor.id)
             if self._stopped:
                 return
             current = self.scheduler.executors_by_id.get(executor.id)
             if not self.scheduler.on_poll_reply(
-                executor.id, look, now_ms, self._loop.clock.now_ms()
+                executor.id, reply, now_ms, self._loop.clock.now_ms()
             ):
                 self._step_down("an executor has seen a newer fencing token")
                 return
             self.request_pass()
             if current is not None and current.needs_poll:
                 # The first failed poll may be an isolated loss, so it is soon repeated.
-                repeats_soon = look.verdict is OrderVerdict.OK or was_reachable
+                repeats_soon = reply.verdict is OrderVerdict.OK or was_reachable
                 delay_ms = POLL_DELAY_MS if repeats_soon else RETRY_MS
                 self._polling_ids.add(executor.id)
 
@@ -530,10 +537,10 @@
     # Progress records
 
     def _write_changes(self) -> None:
-        changed = self.scheduler.unsaved_by_id
-        while changed and self._active_writes < MAX_CONCURRENT_WRITES:
+        unsaved = self.scheduler.unsaved_by_id
+        while unsaved and self._active_writes < MAX_CONCURRENT_WRITES:
             batch = [
-                live for key, live in changed.items() if key not in self._ids_in_write
+                live for key, live in unsaved.items() if key not in self._ids_in_write
             ]
             if not batch:
                 return
--- a/src/cranberrywheel/node/leadership.py
+++ b/src/cranberrywheel/node/leadership.py
@@ -138,7 +138,7 @@
         return bool(self.fence)
 
     def has_valid_lease(self) -> bool:
-        """Whether the lease has not expired, so that no other process can lead."""
+        """Whether this process leads and its lease has certainly not expired."""
         return bool(self.fence) and self._loop.clock.now_ms() < self._valid_until_ms
 
     def start(self) -> None:
--- a/src/cranberrywheel/node/pool_moves.py
+++ b/src/cranberrywheel/node/pool_moves.py
@@ -80,7 +80,11 @@
             if now_ms - ordered_ms > MOVE_TIMEOUT_MS:
                 state.destination_by_machine.pop(machine_id, None)
                 del self._ordered_ms_by_machine[machine_id]
-        standby = {s.name for s in configuration.services_by_name.values() if s.standby}
+        standby_services = {
+            service.name
+            for service in configuration.services_by_name.values()
+            if service.standby
+        }
 
         def is_idle(machine: Machine) -> bool:
             executor = executors_by_machine.get(machine.id)
@@ -89,15 +93,15 @@
         decision = decide_moves(
             state,
             machines,
-            standby,
+            standby_services,
             compute_demand_by_service(self._scheduler),
             reserved,
             is_idle,
             now_ms,
         )
-        self._store_homes()
-        lent = {machine.id for machine in machines if is_borrowed(state, machine)}
-        self._scheduler.borrowed_machines = lent | set(state.destination_by_machine)
+        self._store_home_pools()
+        borrowed = {machine.id for machine in machines if is_borrowed(state, machine)}
+        self._scheduler.borrowed_machines = borrowed | set(state.destination_by_machine)
         for machine_id in decision.drain:
             self._drain(executors_by_machine.get(machine_id), now_ms)
         for machine_id, pool in decision.moves:
@@ -142,7 +146,7 @@
 
         self._client.move(machine_id, pool, self._scheduler.fence, on_reply)
 
-    def _store_homes(self) -> None:
+    def _store_home_pools(self) -> None:
         home_by_machine = self._state.home_pool_by_machine
         if len(home_by_machine) == self._stored_home_count:
             return
