--- a/src/cranberrywheel/process/__init__.py
+++ b/src/cranberrywheel/process/__init__.py
@@ -1,1 +1,1 @@
-"""State that lives as long as a process, and the tasks that own it."""
+"""Components of the entry and planner processes, and the state that they own."""
--- a/src/cranberrywheel/process/configuration_writer.py
+++ b/src/cranberrywheel/process/configuration_writer.py
@@ -1,4 +1,4 @@
-"""Operators' changes of the ``configuration`` record."""
+"""Writes operators' changes to the record ``configuration``."""
 
 import concurrent.futures
 import dataclasses
@@ -29,25 +29,27 @@
 from cranberrywheel.version.keys import create_key
 from cranberrywheel.version.records import StoredRecord, WriteOutcome
 
-#: How long an operator waits for an unavailable store.
+#: Time after which a change fails if the store does not answer.
 OPERATION_TIMEOUT_MS = 10_000
-#: Conflicts with other writers, of keys for example, that one change survives.
+#: Largest number of conflicts with other writers, for example of keys, after which a
+#: change is tried again.
 MAX_CONFLICTS = 5
-#: Entries other than the one that accepted a withdrawal write it after a random
-#: delay in this range, so that usually one of them does.
-MARK_DELAY_MS = (1_000, 3_000)
+#: Range of the random delay after which entries other than the one that accepted a
+#: revocation write it to the store. It is random so that usually only one of them
+#: has to write.
+TOMBSTONE_WRITE_DELAY_MS = (1_000, 3_000)
 
-STOPPING = NotReadyError("This entry is shutting down.", "Ask another entry.")
+SHUTTING_DOWN = NotReadyError("This entry is shutting down.", "Ask another entry.")
 
-#: Derives the next body from the present record, and the operator's result.
+#: Computes the new body and the operator's result from the present record.
 Change = t.Callable[[StoredRecord | None], tuple[dict[str, t.Any], t.Any]]
 _log = PartLogger("configuration")
 
 
-def settle(
+def complete_future(
     future: concurrent.futures.Future, result: t.Any = None, error: t.Any = None
 ) -> None:
-    """Set the result or error of a future that its owner may have cancelled."""
+    """Set the result or the error of a future, unless it is cancelled or done."""
     try:
         if error is not None:
             future.set_exception(error)
@@ -66,14 +68,14 @@
 
 
 @dataclasses.dataclass(eq=False)
-class _Withdrawal:
+class _Revocation:
     message: WithdrawKey
     accepted_ms: int
     deadline_ms: int
 
 
-def change_text(message: ApplyText) -> Change:
-    """Return the change that a new text makes.
+def make_text_change(message: ApplyText) -> Change:
+    """Return the change that stores a new configuration text.
 
     :raises ConfigurationError: if the text is invalid.
     """
@@ -81,65 +83,72 @@
 
     def change(stored: StoredRecord | None) -> tuple[dict[str, t.Any], int]:
         snapshot = read_snapshot(stored) if stored else None
-        present = snapshot.text_version if snapshot else 0
-        if present != message.expected_text_version:
-            lines = (
+        current_version = snapshot.text_version if snapshot else 0
+        if current_version != message.expected_text_version:
+            differences = (
                 list_differences(snapshot.configuration, configuration)
                 if snapshot
                 else []
             )
             raise VersionConflictError(
-                f"The text has version {present}, not "
+                f"The text has version {current_version}, not "
                 f"{message.expected_text_version}. Your text differs from it in: "
-                f"{'; '.join(lines) or 'nothing'}.",
-                f"Merge your changes into version {present} and apply it again.",
+                f"{'; '.join(differences) or 'nothing'}.",
+                f"Merge your changes into version {current_version} and apply it.",
             )
         keys = snapshot.keys_by_id if snapshot else {}
-        withdrawn = stored.body.get("withdrawn", []) if stored else []
-        return dump_body(message.text, present + 1, keys, withdrawn), present + 1
+        revoked_ids = stored.body.get("withdrawn", []) if stored else []
+        return dump_body(
+            message.text, current_version + 1, keys, revoked_ids
+        ), current_version + 1
 
     return change
 
 
-def add_key(message: GrantKey) -> Change:
-    """Return the change that grants a new key."""
-    key, entry = create_key(message.team)
+def make_key_creation(message: GrantKey) -> Change:
+    """Return the change that stores a new key."""
+    key, new_entry = create_key(message.team)
 
     def change(stored: StoredRecord | None) -> tuple[dict[str, t.Any], str]:
         snapshot = read_snapshot(stored) if stored else None
         if snapshot is None or message.team not in snapshot.configuration.teams_by_name:
             raise ConfigurationError(
                 f"There is no team {message.team!r}.",
-                "Add it to the operators' text first.",
+                "Add it to the configuration text first.",
             )
-        keys = {**snapshot.keys_by_id, entry.key_id: entry}
-        withdrawn = stored.body.get("withdrawn", []) if stored else []
-        return dump_body(snapshot.text, snapshot.text_version, keys, withdrawn), key
+        keys = {**snapshot.keys_by_id, new_entry.key_id: new_entry}
+        revoked_ids = stored.body.get("withdrawn", []) if stored else []
+        return dump_body(snapshot.text, snapshot.text_version, keys, revoked_ids), key
 
     return change
 
 
-def remove_keys(key_ids: t.Collection[str]) -> Change:
-    """Return the change that withdraws keys."""
+def make_key_revocation(key_ids: t.Collection[str]) -> Change:
+    """Return the change that revokes keys."""
 
     def change(stored: StoredRecord | None) -> tuple[dict[str, t.Any], None]:
         if stored is None:
             raise ConfigurationError("There is no configuration.", "Apply a text.")
         snapshot = read_snapshot(stored)
-        keys = {i: k for i, k in snapshot.keys_by_id.items() if i not in key_ids}
-        withdrawn = list(stored.body.get("withdrawn", []))
-        withdrawn += sorted(i for i in key_ids if i not in withdrawn)
-        return dump_body(snapshot.text, snapshot.text_version, keys, withdrawn), None
+        keys = {
+            key_id: key
+            for key_id, key in snapshot.keys_by_id.items()
+            if key_id not in key_ids
+        }
+        revoked_ids = list(stored.body.get("withdrawn", []))
+        revoked_ids += sorted(key_id for key_id in key_ids if key_id not in revoked_ids)
+        return dump_body(snapshot.text, snapshot.text_version, keys, revoked_ids), None
 
     return change
 
 
 class ConfigurationWriter:
-    """Carries out operators' changes one at a time; used by the store session.
+    """Makes operators' changes one at a time; used by the store session.
 
-    :param settings: freshness bound.
-    :param peers: holder, marks and confirmations.
+    :param settings: give the freshness bound.
+    :param peers: has the adopted configuration and the revocation tombstones.
     :param writer: writes the record.
+    :param rng: source of the random write delays.
     """
 
     def __init__(
@@ -154,21 +163,21 @@
         self._writer = writer
         self._random = rng
         self._operations: list[_Operation] = []
-        self._lost: _Operation | None = None
-        self._lost_result: t.Any = None
-        self._withdrawals: list[_Withdrawal] = []
-        self._mark_due_ms_by_id: dict[str, int] = {}
+        self._unresolved: _Operation | None = None
+        self._unresolved_result: t.Any = None
+        self._revocations: list[_Revocation] = []
+        self._tombstone_due_ms_by_id: dict[str, int] = {}
 
     def apply_text(self, message: ApplyText, now_ms: int) -> None:
-        """Start the write of a new text; an invalid one is refused at once."""
+        """Queue the write of a new configuration text; refuse an invalid one."""
         try:
-            self._enqueue(change_text(message), message.version, now_ms)
+            self._enqueue(make_text_change(message), message.version, now_ms)
         except ConfigurationError as error:
-            settle(message.version, error=error)
+            complete_future(message.version, error=error)
 
     def grant_key(self, message: GrantKey, now_ms: int) -> None:
-        """Start the write of a new key."""
-        self._enqueue(add_key(message), message.key, now_ms)
+        """Queue the write of a new key."""
+        self._enqueue(make_key_creation(message), message.key, now_ms)
 
     def _enqueue(
         self, change: Change, future: concurrent.futures.Future | None, now_ms: int
@@ -176,12 +185,12 @@
         deadline_ms = now_ms + OPERATION_TIMEOUT_MS
         self._operations.append(_Operation(change, future, deadline_ms))
 
-    def withdraw_key(self, message: WithdrawKey, now_ms: int, registered: bool) -> None:
-        """Stop a key here at once, then in the store and on the peers.
+    def revoke_key(self, message: WithdrawKey, now_ms: int, registered: bool) -> None:
+        """Revoke a key here at once, then in the store and at the peers.
 
-        An unavailable store does not prevent it: the mark is written later.
+        An unavailable store does not prevent this: the tombstone is written later.
 
-        :param registered: whether this process has registered. The proofs of
+        :param registered: whether this process is registered. The freshness proofs of
             other entries do not cover a process that they do not know.
         """
         try:
@@ -196,21 +205,21 @@
                     "Check the key id, which is the part before the dot.",
                 )
         except CranberrywheelError as error:
-            settle(message.result, error=error)
+            complete_future(message.result, error=error)
             return
         self._peers.add_tombstone(message.key_id)
-        self._mark_due_ms_by_id[message.key_id] = now_ms
+        self._tombstone_due_ms_by_id[message.key_id] = now_ms
         deadline_ms = now_ms + self._settings.key_freshness_ms
-        self._withdrawals.append(_Withdrawal(message, now_ms, deadline_ms))
+        self._revocations.append(_Revocation(message, now_ms, deadline_ms))
 
     def _is_known(self, key_id: str) -> bool:
-        """Tell whether a key exists or existed, or may exist."""
+        """Tell whether a key exists, has existed or may exist."""
         snapshot = self._peers.holder.snapshot
         if snapshot is None or key_id not in {
             *snapshot.keys_by_id,
             *snapshot.withdrawn_ids,
         }:
-            # Another entry may have granted it a moment ago.
+            # Another entry may have created it a moment ago.
             try:
                 stored = self._writer.read(CONFIGURATION_KEY)
             except StoreUnavailableError:
@@ -221,33 +230,41 @@
         )
 
     def step(self, now_ms: int, store_allowed: bool) -> None:
-        """Carry on with open changes.
+        """Continue the pending changes.
 
-        :param store_allowed: false while the store's backoff lasts.
-        :raises StoreUnavailableError: if the store gave no answer.
+        :param store_allowed: false while calls of the store back off.
+        :raises StoreUnavailableError: if the store does not answer.
         """
-        self._answer_withdrawals(now_ms)
-        self._expire(now_ms)
+        self._complete_revocations(now_ms)
+        self._fail_expired(now_ms)
         if store_allowed:
-            self._resolve_lost()
-            self._start_mark_write(now_ms)
-            while self._operations and self._lost is None:
-                self._attempt(self._operations[0])
-            self._answer_withdrawals(now_ms)
-
-    def _start_mark_write(self, now_ms: int) -> None:
-        marks = self._peers.list_unwritten_tombstones()
-        for key_id in marks - self._mark_due_ms_by_id.keys():
-            delay_ms = self._random.randint(*MARK_DELAY_MS)
-            self._mark_due_ms_by_id[key_id] = now_ms + delay_ms
-        self._mark_due_ms_by_id = {
-            i: due for i, due in self._mark_due_ms_by_id.items() if i in marks
+            self._resolve_unknown_outcome()
+            self._queue_tombstone_write(now_ms)
+            while self._operations and self._unresolved is None:
+                self._try_operation(self._operations[0])
+            self._complete_revocations(now_ms)
+
+    def _queue_tombstone_write(self, now_ms: int) -> None:
+        key_ids = self._peers.list_unwritten_tombstones()
+        for key_id in key_ids - self._tombstone_due_ms_by_id.keys():
+            delay_ms = self._random.randint(*TOMBSTONE_WRITE_DELAY_MS)
+            self._tombstone_due_ms_by_id[key_id] = now_ms + delay_ms
+        self._tombstone_due_ms_by_id = {
+            key_id: due_ms
+            for key_id, due_ms in self._tombstone_due_ms_by_id.items()
+            if key_id in key_ids
+        }
+        due_ids = {
+            key_id
+            for key_id, at_ms in self._tombstone_due_ms_by_id.items()
+            if at_ms <= now_ms
         }
-        due = {i for i, at_ms in self._mark_due_ms_by_id.items() if at_ms <= now_ms}
-        if due and not any(op.future is None for op in self._operations):
-            self._enqueue(remove_keys(due), None, now_ms)
+        if due_ids and not any(
+            operation.future is None for operation in self._operations
+        ):
+            self._enqueue(make_key_revocation(due_ids), None, now_ms)
 
-    def _attempt(self, operation: _Operation) -> None:
+    def _try_operation(self, operation: _Operation) -> None:
         try:
             base = self._writer.read(CONFIGURATION_KEY)
             body, result = operation.change(base)
@@ -263,7 +280,7 @@
             if operation.conflicts > MAX_CONFLICTS:
                 self._finish(operation, error=error)
         except StoreUnavailableError:
-            self._lost, self._lost_result = operation, result
+            self._unresolved, self._unresolved_result = operation, result
             raise
         except StoreError as error:
             self._finish(operation, error=error)
@@ -271,40 +288,44 @@
             self._adopt(stored)
             self._finish(operation, result)
 
-    def _resolve_lost(self) -> None:
-        operation = self._lost
+    def _resolve_unknown_outcome(self) -> None:
+        operation = self._unresolved
         if operation is None:
             return
         outcome, current = self._writer.resolve(CONFIGURATION_KEY)
-        self._lost = None
+        self._unresolved = None
         if current is not None:
             self._adopt(current)
         if outcome is WriteOutcome.WRITTEN:
-            self._finish(operation, self._lost_result)
+            self._finish(operation, self._unresolved_result)
         elif outcome is WriteOutcome.UNKNOWN:
-            self._finish(operation, error=self._unknown_error())
-        # After NOT_WRITTEN the operation is still in the queue and runs again.
+            self._finish(operation, error=self._unknown_outcome_error())
+        # After NOT_WRITTEN the operation is still in the queue and is tried again.
 
     def _adopt(self, stored: StoredRecord) -> None:
         try:
             self._peers.holder.adopt(stored.record)
         except StoreError as error:
-            _log.warning("ignored malformed record", cause=error.message)
+            _log.warning("malformed record ignored", cause=error.message)
 
-    def abandon(self) -> None:
-        """Fail all open changes at shutdown."""
+    def fail_pending(self) -> None:
+        """Fail all pending changes at shutdown."""
         for operation in list(self._operations):
-            error = self._unknown_error() if operation is self._lost else STOPPING
+            error = (
+                self._unknown_outcome_error()
+                if operation is self._unresolved
+                else SHUTTING_DOWN
+            )
             self._finish(operation, error=error)
-        for withdrawal in self._withdrawals:
-            settle(withdrawal.message.result, error=STOPPING)
-        self._withdrawals.clear()
+        for revocation in self._revocations:
+            complete_future(revocation.message.result, error=SHUTTING_DOWN)
+        self._revocations.clear()
 
     @staticmethod
-    def _unknown_error() -> StoreUnavailableError:
+    def _unknown_outcome_error() -> StoreUnavailableError:
         return StoreUnavailableError(
             "The change may or may not have been stored.",
-            "Show the configuration before you try again.",
+            "Check the configuration with 'cranberrywheel show' before you try again.",
         )
 
     def _finish(
@@ -313,35 +334,35 @@
         if operation in self._operations:
             self._operations.remove(operation)
         if operation.future is not None:
-            settle(operation.future, result, error)
+            complete_future(operation.future, result, error)
         elif error is not None:
-            _log.warning("could not store withdrawals", cause=error)
+            _log.warning("could not store key revocations; retrying", cause=error)
 
-    def _expire(self, now_ms: int) -> None:
+    def _fail_expired(self, now_ms: int) -> None:
         for operation in list(self._operations):
             if now_ms < operation.deadline_ms:
                 continue
-            if operation is self._lost:
-                self._finish(operation, error=self._unknown_error())
+            if operation is self._unresolved:
+                self._finish(operation, error=self._unknown_outcome_error())
                 continue
             message = "The store is unavailable; nothing was changed."
             error = StoreUnavailableError(message, "Try again later.")
             self._finish(operation, error=error)
 
-    def _answer_withdrawals(self, now_ms: int) -> None:
+    def _complete_revocations(self, now_ms: int) -> None:
         snapshot = self._peers.holder.snapshot
-        for withdrawal in list(self._withdrawals):
-            key_id = withdrawal.message.key_id
+        for revocation in list(self._revocations):
+            key_id = revocation.message.key_id
             stored = snapshot is not None and key_id in snapshot.withdrawn_ids
             confirmed, unconfirmed = self._peers.list_confirmations(key_id)
-            # An older roster may lack an entry that has the key.
-            known = self._peers.has_roster_since(withdrawal.accepted_ms)
-            complete = stored and known and not unconfirmed
-            if complete or now_ms >= withdrawal.deadline_ms:
-                self._withdrawals.remove(withdrawal)
+            # An older roster may lack an entry that accepts the key.
+            roster_is_current = self._peers.has_roster_since(revocation.accepted_ms)
+            complete = stored and roster_is_current and not unconfirmed
+            if complete or now_ms >= revocation.deadline_ms:
+                self._revocations.remove(revocation)
                 result = {
                     "stored": stored,
                     "confirmed": confirmed,
                     "unconfirmed": unconfirmed,
                 }
-                settle(withdrawal.message.result, result)
+                complete_future(revocation.message.result, result)
--- a/src/cranberrywheel/process/metrics.py
+++ b/src/cranberrywheel/process/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and timings, sent to a statsd server over UDP."""
+"""Sends counters, gauges and timings to a statsd server over UDP."""
 
 import statsd
 
@@ -6,9 +6,9 @@
 
 
 class Metrics:
-    """Sends metrics, or drops them if no server is set.
+    """Sends metrics, or discards them if no server is configured.
 
-    A lost datagram is lost: nothing waits for the metrics server.
+    Lost datagrams are not sent again, so that no caller waits for the server.
 
     :param host: IP number of the server, or ``""`` for none.
     :param port: UDP port.
@@ -18,7 +18,7 @@
         self._client = statsd.StatsClient(host, port, prefix=PREFIX) if host else None
 
     def count(self, name: str, by: int = 1) -> None:
-        """Add to a counter.
+        """Increment a counter.
 
         :param name: dotted name below ``cranberrywheel``.
         """
@@ -26,11 +26,17 @@
             self._client.incr(name, by)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a gauge."""
+        """Set a gauge.
+
+        :param name: dotted name below ``cranberrywheel``.
+        """
         if self._client:
             self._client.gauge(name, value)
 
     def timing(self, name: str, duration_ms: int) -> None:
-        """Add a duration in milliseconds."""
+        """Record a duration in milliseconds.
+
+        :param name: dotted name below ``cranberrywheel``.
+        """
         if self._client:
             self._client.timing(name, duration_ms)
--- a/src/cranberrywheel/process/store_reader.py
+++ b/src/cranberrywheel/process/store_reader.py
@@ -1,4 +1,4 @@
-"""Reads the store for one entry: configuration, pools, roster and limits."""
+"""Periodic store reads of one entry: configuration, pools, roster and limits."""
 
 import dataclasses
 import random
@@ -24,14 +24,15 @@
 from cranberrywheel.version.records import parse_record
 
 POOLS_PREFIX = "pools/"
-#: Time between two readings of the lists. A leaving target must get no new work
-#: after a few seconds.
+#: Interval between two reads of the lists. A worker that leaves must receive no new
+#: tasks after a few seconds.
 LIST_INTERVAL_MS = 2_000
-#: Age of the newest store read, relative to the freshness bound, from which this
-#: entry reads the configuration itself.
+#: Age of the newest store read by any entry, relative to the freshness bound, from
+#: which this entry reads the configuration itself.
 READ_PROOF_FRACTION = 0.4
-#: Largest random addition to that age. It is more than an exchange interval, so
-#: that after one entry has read, its peers usually hear before they read too.
+#: Largest random addition to :data:`READ_PROOF_FRACTION`. It is longer than an
+#: exchange interval, so that after one entry has read the store, its peers usually
+#: learn of it before they read too.
 READ_JITTER_FRACTION = 0.3
 
 _log = PartLogger("store")
@@ -48,14 +49,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class LimitsListed:
-    """To the store session: limit records, and registrations read after them."""
+    """To the store session: limit records, and registrations read after them.
+
+    :param records: all ``limits/<team>`` records.
+    :param registrations: registered entries.
+    """
 
     records: list[Record]
     registrations: list[Registration]
 
 
-def read_pools(record: Record) -> PoolsChanged:
-    """Read a ``pools/<zone>`` record.
+def parse_pools(record: Record) -> PoolsChanged:
+    """Parse a ``pools/<zone>`` record.
 
     :raises StoreError: if it is malformed.
     """
@@ -63,28 +68,30 @@
     try:
         body = _PoolsBody.model_validate(stored.body)
     except pydantic.ValidationError as error:
-        first = error.errors(include_url=False, include_input=False)[0]
+        first_error = error.errors(include_url=False, include_input=False)[0]
         raise StoreError(
-            f"Record {record.key} is malformed: {first['msg']}.",
+            f"Record {record.key} is malformed: {first_error['msg']}.",
             "Let the zone's planner write it again.",
         ) from None
-    rows = tuple(PoolRow(w, r.pool, r.state) for w, r in body.instances.items())
+    assignments = tuple(
+        PoolRow(worker, row.pool, row.state) for worker, row in body.instances.items()
+    )
     zone = record.key.removeprefix(POOLS_PREFIX)
-    return PoolsChanged(zone, record.revision, rows, stored.body)
+    return PoolsChanged(zone, record.revision, assignments, stored.body)
 
 
 class StoreReader:
     """Polls the store on its own thread and connection.
 
-    A slow read must not delay the renewal of the lease, so the session's thread
-    does no periodic reads.
+    Periodic reads are not made on the session's thread, because a slow read must not
+    delay the renewal of the lease.
 
-    :param settings: freshness bound.
+    :param settings: give the freshness bound.
     :param clock: own clock.
-    :param client: store client of the calling thread.
-    :param peers: takes configuration, proofs, roster and instance list.
-    :param to_dispatcher: takes messages for the dispatcher.
-    :param to_session: takes :class:`LimitsListed`.
+    :param client: store client of the reader's thread.
+    :param peers: receives configuration, freshness proofs, roster and instance list.
+    :param to_dispatcher: receives messages for the dispatcher.
+    :param to_session: receives :class:`LimitsListed`.
     """
 
     def __init__(
@@ -115,7 +122,7 @@
         self._read_age_ms = int(self._bound_ms * fraction)
 
     def step(self) -> None:
-        """Do the reads that are due; an unavailable store delays the next."""
+        """Make the reads that are due; an unavailable store starts a backoff."""
         now_ms = self._clock.now_ms()
         if not self._backoff.allows_attempt(now_ms):
             return
@@ -130,14 +137,16 @@
             self._backoff.record_success()
         except StoreUnavailableError as error:
             self._backoff.record_failure(self._clock.now_ms())
-            _log.event("store unavailable", cause=error.message)
+            _log.event("store unavailable; reads back off", cause=error.message)
 
     def read_configuration(self) -> None:
-        """Read the configuration if it is newer; either way the keys are proven.
+        """Read the configuration if it is newer, and record a freshness proof.
+
+        An answer that the configuration is unchanged is a proof as well.
 
-        :raises StoreUnavailableError: if the store gives no answer.
+        :raises StoreUnavailableError: if the store does not answer.
         """
-        taken_ms = self._clock.now_ms()
+        sent_ms = self._clock.now_ms()
         answer = self._client.get(CONFIGURATION_KEY, self._peers.holder.version)
         if answer is None:
             return
@@ -145,25 +154,25 @@
             try:
                 self._peers.holder.adopt(answer)
             except StoreError as error:
-                self._note_malformed(answer, error)
+                self._log_malformed(answer, error)
                 return
-        self._peers.record_store_read(taken_ms)
+        self._peers.record_store_read(sent_ms)
 
     def read_lists(self) -> None:
-        """Read limits, roster, pools and instances, one call each.
+        """Read limits, roster, pools and instances with one call each.
 
-        :raises StoreUnavailableError: if the store gives no answer.
+        :raises StoreUnavailableError: if the store does not answer.
         """
-        limits = self._client.list(LIMITS_PREFIX)
+        limit_records = self._client.list(LIMITS_PREFIX)
         read_ms = self._clock.now_ms()
         registrations = self._read_roster()
         self._peers.set_roster(registrations, read_ms)
-        self._to_session(LimitsListed(limits, registrations))
+        self._to_session(LimitsListed(limit_records, registrations))
         for record in self._client.list(POOLS_PREFIX):
-            self._take_pools(record)
-        listed = self._client.instances()
-        self._peers.set_instances(listed)
-        self._to_dispatcher(InstancesListed(listed))
+            self._handle_pools(record)
+        instance_list = self._client.instances()
+        self._peers.set_instances(instance_list)
+        self._to_dispatcher(InstancesListed(instance_list))
 
     def _read_roster(self) -> list[Registration]:
         registrations = []
@@ -171,22 +180,22 @@
             try:
                 registrations.append(parse_registration(record))
             except StoreError as error:
-                self._note_malformed(record, error)
+                self._log_malformed(record, error)
         return registrations
 
-    def _take_pools(self, record: Record) -> None:
+    def _handle_pools(self, record: Record) -> None:
         if record.revision <= self._pool_revisions_by_key.get(record.key, 0):
             return
         try:
-            changed = read_pools(record)
+            changed = parse_pools(record)
         except StoreError as error:
-            self._note_malformed(record, error)
+            self._log_malformed(record, error)
             return
         self._pool_revisions_by_key[record.key] = record.revision
         self._to_dispatcher(changed)
 
-    def _note_malformed(self, record: Record, error: StoreError) -> None:
+    def _log_malformed(self, record: Record, error: StoreError) -> None:
         """Log a malformed record once per revision."""
         if self._malformed_revisions_by_key.get(record.key) != record.revision:
             self._malformed_revisions_by_key[record.key] = record.revision
-            _log.warning("ignored malformed record", cause=error.message)
+            _log.warning("malformed record ignored", cause=error.message)
--- a/src/cranberrywheel/process/store_session.py
+++ b/src/cranberrywheel/process/store_session.py
@@ -1,4 +1,4 @@
-"""The task that owns the store client of an entry process."""
+"""Store session of an entry process: owns the process's store clients."""
 
 import dataclasses
 import queue
@@ -16,9 +16,9 @@
 )
 from cranberrywheel.logs import PartLogger
 from cranberrywheel.process.configuration_writer import (
-    STOPPING,
+    SHUTTING_DOWN,
     ConfigurationWriter,
-    settle,
+    complete_future,
 )
 from cranberrywheel.process.exchange import PeerExchange
 from cranberrywheel.process.membership import ENTRIES_PREFIX, dump_registration
@@ -35,22 +35,23 @@
 from cranberrywheel.process.unit_keeper import UnitKeeper
 from cranberrywheel.settings import EntrySettings, PlatformSettings
 
-#: Longest wait for a message before the session looks for due work.
+#: Longest wait for a message before the session checks for due work.
 TICK_MS = 100
-UNIT_INTERVAL_MS = 1_000
-#: Attempts at shutdown to return the units to a store that does not answer.
-STOP_ATTEMPTS = 3
+#: Interval between two updates of the quota units that this process holds.
+QUOTA_INTERVAL_MS = 1_000
+#: Attempts at shutdown to return the quota units if the store does not answer.
+MAX_RETURN_ATTEMPTS = 3
 
 _log = PartLogger("store")
 
 
-class Lease:
-    """Registration of this process under a store lease.
+class RegistrationLease:
+    """Registration of this process in the store, bound to a store lease.
 
-    :param settings: the lease's TTL is the short hold time.
+    :param settings: give the TTL of the lease, which is ``short_hold_ms``.
     :param clock: own clock.
     :param client: store client of the session's thread.
-    :param peers: has the registration of this process.
+    :param peers: gives the registration of this process.
     """
 
     def __init__(
@@ -63,22 +64,22 @@
         self._ttl_ms = settings.limits.short_hold_ms
         self._clock = clock
         self._client = client
-        self._own = peers.registration
+        self._registration = peers.registration
         self._lease = ""
         #: Store revision of the registration; 0 while there is none.
         self.revision = 0
-        #: Own clock reading before the last grant or renewal was sent.
+        #: Own clock reading before the last successful grant or renewal was sent.
         self.started_ms = 0
 
     def is_due(self, now_ms: int) -> bool:
-        """Tell whether the registration or a renewal should be sent."""
+        """Tell whether a registration or a renewal is due."""
         return not self.revision or now_ms - self.started_ms >= self._ttl_ms // 3
 
-    def keep(self) -> None:
-        """Register, or renew the lease.
+    def renew_or_register(self) -> None:
+        """Renew the lease, or acquire one and register.
 
-        :raises LeaseLostError: if the lease has lapsed; the next call registers.
-        :raises StoreUnavailableError: if the store gives no answer.
+        :raises LeaseLostError: if the lease has expired; the next call registers.
+        :raises StoreUnavailableError: if the store does not answer.
         """
         started_ms = self._clock.now_ms()
         try:
@@ -94,35 +95,35 @@
         self.started_ms = started_ms
 
     def _register(self) -> int:
-        key = ENTRIES_PREFIX + self._own.process_id
-        value = dump_registration(self._own)
+        key = ENTRIES_PREFIX + self._registration.process_id
+        value = dump_registration(self._registration)
         try:
             return self._client.put(key, value, 0, self._lease)
         except StoreConflictError:
-            # An earlier attempt under this lease took effect unanswered.
+            # An earlier attempt under this lease took effect, but its answer was lost.
             record = self._client.get(key)
             if not isinstance(record, Record):
                 raise LeaseLostError(
-                    "The registration has lapsed.", "Register again."
+                    f"The registration {key} has expired.", "Register again."
                 ) from None
             return record.revision
 
     def revoke(self) -> None:
-        """End the lease and with it the registration."""
+        """Revoke the lease, which also deletes the registration."""
         if self._lease:
             self._client.revoke_lease(self._lease)
             self._lease, self.revision = "", 0
 
 
 class StoreSession:
-    """Keeps the lease, the units and the configuration of one entry.
+    """Maintains the lease, the quota units and the configuration of one entry.
 
-    Writes and reads run on two threads with a connection each.
+    Writes and periodic reads run on two threads with a connection each.
 
     :param settings: of this process.
     :param clock: own clock.
-    :param to_dispatcher: takes messages for the dispatcher.
-    :param peers: knowledge shared with the peer service.
+    :param to_dispatcher: receives messages for the dispatcher.
+    :param peers: state shared with the peer service.
     :param make_client: creates the store client of a thread.
     """
 
@@ -144,9 +145,11 @@
         self._random = random.Random(peers.process_id)
         self._backoff = Backoff(self._random)
         writer = RecordWriter(self._client, peers.process_id)
-        self._lease = Lease(settings, clock, self._client, peers)
-        self._changes = ConfigurationWriter(settings, peers, writer, self._random)
-        self._units = UnitKeeper(
+        self._lease = RegistrationLease(settings, clock, self._client, peers)
+        self._configuration_writer = ConfigurationWriter(
+            settings, peers, writer, self._random
+        )
+        self._quota_manager = UnitKeeper(
             settings.limits,
             peers.registration,
             self._client,
@@ -157,8 +160,8 @@
         self.reader = StoreReader(
             settings, clock, self._reader_client, peers, to_dispatcher, self.inbox.put
         )
-        self._joined_revision = 0
-        self._units_due_ms = clock.now_ms()
+        self._registered_revision = 0
+        self._quota_due_ms = clock.now_ms()
         self._stopping = threading.Event()
         self._threads = [
             threading.Thread(target=self._run, name="store", daemon=True),
@@ -166,7 +169,7 @@
         ]
 
     def start(self) -> None:
-        """Start both threads; the peer port must be bound before."""
+        """Start both threads; the peer port must already be bound."""
         for thread in self._threads:
             thread.start()
 
@@ -187,67 +190,76 @@
         self._reader_client.close()
 
     def step(self, message: object = None) -> None:
-        """Handle one message and do the work that is due.
+        """Handle one message and do all work that is due.
 
         :param message: from the inbox, or ``None``.
         """
         try:
             self._handle(message)
-            self._work()
+            self._do_due_work()
         except StoreUnavailableError as error:
             self._backoff.record_failure(self._clock.now_ms())
-            _log.event("store unavailable", cause=error.message)
+            _log.event("store unavailable; calls back off", cause=error.message)
         except StoreError as error:
-            _log.warning("store call refused", cause=error.message)
+            _log.warning(
+                "store refused a call; retrying when due again", cause=error.message
+            )
 
     def _handle(self, message: object) -> None:
         now_ms = self._clock.now_ms()
         if isinstance(message, ApplyText):
-            self._changes.apply_text(message, now_ms)
+            self._configuration_writer.apply_text(message, now_ms)
         elif isinstance(message, GrantKey):
-            self._changes.grant_key(message, now_ms)
+            self._configuration_writer.grant_key(message, now_ms)
         elif isinstance(message, WithdrawKey):
             registered = self._lease.revision > 0
-            self._changes.withdraw_key(message, now_ms, registered)
+            self._configuration_writer.revoke_key(message, now_ms, registered)
         elif isinstance(message, UnitsWanted):
-            self._units.want(message)
+            self._quota_manager.want(message)
         elif isinstance(message, LimitsListed):
-            self._units.listed(message.records, message.registrations, now_ms)
+            self._quota_manager.listed(message.records, message.registrations, now_ms)
 
-    def _work(self) -> None:
+    def _do_due_work(self) -> None:
         now_ms = self._clock.now_ms()
-        allowed = self._backoff.allows_attempt(now_ms)
-        if allowed:
-            self._keep_lease(now_ms)
-        self._changes.step(now_ms, allowed)
+        store_allowed = self._backoff.allows_attempt(now_ms)
+        if store_allowed:
+            self._renew_lease_if_due(now_ms)
+        self._configuration_writer.step(now_ms, store_allowed)
         snapshot = self._peers.holder.snapshot
-        joined = self._joined_revision == self._lease.revision > 0
-        if allowed and joined and snapshot and now_ms >= self._units_due_ms:
-            self._units_due_ms = now_ms + UNIT_INTERVAL_MS
-            self._units.step(snapshot, now_ms)
-        if allowed:
+        is_registered = self._registered_revision == self._lease.revision > 0
+        if (
+            store_allowed
+            and is_registered
+            and snapshot
+            and now_ms >= self._quota_due_ms
+        ):
+            self._quota_due_ms = now_ms + QUOTA_INTERVAL_MS
+            self._quota_manager.step(snapshot, now_ms)
+        if store_allowed:
             self._backoff.record_success()
 
-    def _keep_lease(self, now_ms: int) -> None:
+    def _renew_lease_if_due(self, now_ms: int) -> None:
         renewed = False
         if self._lease.is_due(now_ms):
             try:
-                self._lease.keep()
+                self._lease.renew_or_register()
                 renewed = True
             except LeaseLostError:
-                _log.warning("lease lapsed, registering again")
-                self._lease.keep()
+                _log.warning("lease expired; registering again")
+                self._lease.renew_or_register()
         revision = self._lease.revision
-        if self._joined_revision != revision:
+        if self._registered_revision != revision:
             own = dataclasses.replace(self._peers.registration, revision=revision)
-            self._units.rejoin(own)
-            self._joined_revision = revision
+            self._quota_manager.rejoin(own)
+            self._registered_revision = revision
             renewed = True
-            _log.event("registered", process=own.process_id, revision=revision)
+            _log.event(
+                "registered in the store", process=own.process_id, revision=revision
+            )
         if renewed:
             self._to_dispatcher(HoldRenewed(self._lease.started_ms))
 
-    def _refuse_messages(self) -> None:
+    def _reject_messages(self) -> None:
         while not self.inbox.empty():
             match self.inbox.get():
                 case (
@@ -255,21 +267,21 @@
                     | GrantKey(key=future)
                     | WithdrawKey(result=future)
                 ):
-                    settle(future, error=STOPPING)
+                    complete_future(future, error=SHUTTING_DOWN)
 
     def stop(self, message: Stop) -> None:
-        """Return the units and the lease, then end both threads."""
+        """Return the quota units, revoke the lease and end both threads."""
         self._stopping.set()
-        self._changes.abandon()
-        self._refuse_messages()
-        for _ in range(STOP_ATTEMPTS):
+        self._configuration_writer.fail_pending()
+        self._reject_messages()
+        for _ in range(MAX_RETURN_ATTEMPTS):
             try:
-                self._units.return_all()
+                self._quota_manager.return_all()
                 self._lease.revoke()
                 break
             except StoreUnavailableError:
                 self._clock.sleep_ms(self._random.randint(50, 500))
             except StoreError as error:
-                _log.warning("could not return units", cause=error.message)
+                _log.warning("could not return quota units", cause=error.message)
         self._client.close()
-        settle(message.done)
+        complete_future(message.done)
--- a/tests/test_unit_keeper.py
+++ b/tests/test_unit_keeper.py
@@ -89,7 +89,7 @@
         b.waiting_by_team = {"t": 9}
         group.run(6_000)
         self.assertEqual(3, a.usable("t"))
-        a.session._units.listed(old, [], group.clock.now_ms())
+        a.session._quota_manager.listed(old, [], group.clock.now_ms())
         self.assertEqual(3, a.usable("t"))
 
     def test_reclaim_checked_against_a_registration_that_came_back(self):
@@ -129,7 +129,7 @@
         def put_late(key, *args):
             if key == "limits/t" and b.paused:
                 b.paused = False
-                b.session._keep_lease(group.clock.now_ms())
+                b.session._renew_lease_if_due(group.clock.now_ms())
             try:
                 return put(key, *args)
             finally:
