--- a/src/cranberrywheel/node/pool_moves.py
+++ b/src/cranberrywheel/node/pool_moves.py
@@ -8,16 +8,16 @@
 from cranberrywheel.node.keys import HOMES_KEY, LEADER_KEY
 from cranberrywheel.platform.machines import MachineClient
 from cranberrywheel.platform.store import Outcome, Store, StoreReply, Write
-from cranberrywheel.submission.demand import demand_by_service
+from cranberrywheel.submission.demand import compute_demand_by_service
 from cranberrywheel.submission.executor import Executor
-from cranberrywheel.submission.machines import DutyVerdict, Machine
-from cranberrywheel.submission.pool_sizes import (
-    PoolState,
+from cranberrywheel.submission.machines import Machine, MachineOrderVerdict
+from cranberrywheel.submission.maintenance import choose_runs_to_move
+from cranberrywheel.submission.pool_sizing import (
+    PoolSizingState,
     decide_moves,
-    is_lent,
+    is_borrowed,
 )
 from cranberrywheel.submission.scheduler import Scheduler
-from cranberrywheel.submission.upkeep import runs_to_move
 
 #: Time after which a move that never shows in the list is forgotten.
 MOVE_TIMEOUT_MS = 6_000
@@ -40,7 +40,7 @@
         self._store = store
         self._client = client
         self._scheduler = scheduler
-        self._state = PoolState()
+        self._state = PoolSizingState()
         self._loaded = False
         self._stored_homes = 0
         self._sent_ms: dict[str, int] = {}
@@ -54,7 +54,7 @@
                 return
             if reply.outcome is Outcome.OK:
                 homes = json.loads(reply.items[0].value or b"{}")
-                self._state.home_by_machine.update(homes)
+                self._state.home_pool_by_machine.update(homes)
                 self._stored_homes = len(homes)
             self._loaded = True
 
@@ -77,7 +77,7 @@
         state = self._state
         for machine_id, sent_ms in list(self._sent_ms.items()):
             if now_ms - sent_ms > MOVE_TIMEOUT_MS:
-                state.moving.pop(machine_id, None)
+                state.destination_by_machine.pop(machine_id, None)
                 del self._sent_ms[machine_id]
         standby = {s.name for s in configuration.services_by_name.values() if s.standby}
 
@@ -89,15 +89,15 @@
             state,
             machines,
             standby,
-            demand_by_service(self._scheduler),
+            compute_demand_by_service(self._scheduler),
             reserved,
             is_empty,
             now_ms,
         )
         self._store_homes()
-        lent = {machine.id for machine in machines if is_lent(state, machine)}
-        self._scheduler.lent_machines = lent | set(state.moving)
-        for machine_id in decision.empty:
+        lent = {machine.id for machine in machines if is_borrowed(state, machine)}
+        self._scheduler.borrowed_machines = lent | set(state.destination_by_machine)
+        for machine_id in decision.drain:
             self._empty(executors_by_machine.get(machine_id), now_ms)
         for machine_id, pool in decision.moves:
             self._order(machine_id, pool, executors_by_machine.get(machine_id))
@@ -111,7 +111,7 @@
             for other in self._scheduler.executors_by_id.values()
             if other.entry.service == executor.entry.service
         ]
-        for run in runs_to_move(executor, pool, now_ms):
+        for run in choose_runs_to_move(executor, pool, now_ms):
             self._scheduler.stop_run(run, now_ms, "its machine moves")
 
     def _order(self, machine_id: str, pool: str, executor: Executor | None) -> None:
@@ -119,7 +119,7 @@
         if executor is not None:
             executor.cordoned = True
 
-        def on_reply(verdict: DutyVerdict) -> None:
+        def on_reply(verdict: MachineOrderVerdict) -> None:
             _log.event(
                 "machine moved",
                 machine=machine_id,
@@ -127,18 +127,20 @@
                 outcome=verdict.value,
                 fence=self._scheduler.fence,
             )
-            if verdict is DutyVerdict.OK:
+            if verdict is MachineOrderVerdict.OK:
                 if executor is not None:
-                    self._scheduler.mark_dead(executor.id, self._loop.clock.now_ms())
-            elif verdict is not DutyVerdict.UNKNOWN:
-                self._state.moving.pop(machine_id, None)
+                    self._scheduler.mark_terminated(
+                        executor.id, self._loop.clock.now_ms()
+                    )
+            elif verdict is not MachineOrderVerdict.UNKNOWN:
+                self._state.destination_by_machine.pop(machine_id, None)
                 if executor is not None:
                     executor.cordoned = False
 
         self._client.move(machine_id, pool, self._scheduler.fence, on_reply)
 
     def _store_homes(self) -> None:
-        homes = self._state.home_by_machine
+        homes = self._state.home_pool_by_machine
         if len(homes) == self._stored_homes:
             return
         self._stored_homes = len(homes)
