--- a/tests/dispatch_fixtures.py
+++ b/tests/dispatch_fixtures.py
@@ -1,4 +1,4 @@
-"""Values shared by the tests of the decision modules."""
+"""Requests and worker rows shared by the tests of the dispatch modules."""
 
 import dataclasses
 
@@ -13,7 +13,7 @@
 
 
 def rows(count, **changes):
-    """Workers w0, w1, ... in zones z0 and z1 and racks r0 to r3 of pool p."""
+    """Build rows of workers w0, w1, ... of pool p in zones z0, z1, racks r0 to r3."""
     return [
         dataclasses.replace(
             row, **{"name": f"w{n}", "zone": f"z{n % 2}", "rack": f"r{n % 4}"} | changes
--- a/tests/entry_group_fixtures.py
+++ b/tests/entry_group_fixtures.py
@@ -1,4 +1,4 @@
-"""Entries in two zones with a small valid text, for tests."""
+"""Builds groups of entries in two zones, and a small valid configuration text."""
 
 from test_configuration import SMALL
 
--- a/tests/test_store_session.py
+++ b/tests/test_store_session.py
@@ -26,14 +26,14 @@
         self.group.run(1_000)
 
     def test_first_text_creates_the_record(self):
-        """A new deployment has no record to compare with."""
+        """A new deployment must accept a text although it has no record yet."""
         self.assertEqual(1, self.a.apply(TEXT, 0).result(0))
         self.group.run(4_000)
         self.assertEqual(self.a.versions, self.b.versions)
         self.assertEqual(1, len(self.a.versions))
 
     def test_invalid_text_is_refused(self):
-        """Entries could not adopt it."""
+        """An invalid text must not be stored, because entries could not adopt it."""
         error = self.a.apply(TEXT + "colour = red\n", 0).exception(0)
         self.assertIsInstance(error, ConfigurationError)
         self.assertIsNone(self.group.platform.get(CONFIGURATION_KEY))
@@ -48,7 +48,7 @@
         self.assertIn("limit changed from 10 to 8", error.message)
 
     def test_key_grant_does_not_conflict_with_an_edit(self):
-        """Both write the same record between read and write of the other."""
+        """A key created between read and write of an edit must not be lost."""
         self.a.apply(TEXT, 0).result(0)
         put, keys = self.a.clients[0].put, []
 
@@ -64,7 +64,7 @@
         self.assertEqual(10, snapshot.configuration.teams_by_name["t"].limit)
 
     def test_lost_answer_is_read_back(self):
-        """A second write of the same text would conflict with the first."""
+        """A write whose answer was lost must not be reported as a conflict."""
         self.a.clients[0].lose = 1
         answer = self.a.apply(TEXT, 0)
         self.group.run(4_000)
@@ -91,7 +91,7 @@
         self.assertEqual(8, team.limit)
 
     def test_store_outage_is_reported_with_what_is_known(self):
-        """ "Nothing was changed" must be true."""
+        """The message "nothing was changed" must only appear if it is true."""
         self.group.set_down(True)
         unsent = self.a.apply(TEXT, 0)
         self.group.run(11_000)
@@ -105,12 +105,12 @@
         self.assertIn("may or may not", str(sent.exception(0)))
 
     def test_keys_of_unknown_teams_and_unknown_keys_are_refused(self):
-        """A mistyped name must not look like success."""
+        """A mistyped name must be refused instead of reported as success."""
         self.a.apply(TEXT, 0).result(0)
         for answer in (self.a.grant("other"), self.a.withdraw("0123")):
             self.assertIsInstance(answer.exception(0), ConfigurationError)
 
-    def test_withdrawal_names_entries_that_did_not_confirm(self):
+    def test_revocation_names_entries_that_did_not_confirm(self):
         """The operator must learn where the key may still be in use."""
         self.a.apply(TEXT, 0).result(0)
         key_ids = [self.a.grant("t").result(0).partition(".")[0] for _ in range(2)]
@@ -125,8 +125,8 @@
         self.group.run(6_000)
         self.assertEqual([self.b.process_id], answer.result(0)["unconfirmed"])
 
-    def test_withdrawal_waits_for_a_roster_read_after_it(self):
-        """An entry that has just registered knows no other yet."""
+    def test_revocation_waits_for_a_roster_read_after_it(self):
+        """A newly registered entry must not confirm before it knows the others."""
         self.a.apply(TEXT, 0).result(0)
         key_id = self.a.grant("t").result(0).partition(".")[0]
         self.group.run(4_000)
@@ -139,7 +139,7 @@
         self.assertIn(self.b.process_id, answer.result(0)["confirmed"])
 
     def test_partitioned_entry_loses_its_proof_but_not_its_version(self):
-        """Queues that pause stop there; queues that serve use the age."""
+        """A partitioned entry must not count as fresh, but keeps its configuration."""
         self.a.apply(TEXT, 0).result(0)
         self.group.run(4_000)
         self.b.cut_off = True
@@ -162,7 +162,7 @@
         return [m.started_ms for m in self.a.messages if isinstance(m, HoldRenewed)]
 
     def test_renewal_counts_from_before_it_was_sent(self):
-        """A slow renewal must not extend the hold time of units."""
+        """A slow renewal must not extend the time for which quota units are held."""
         self.group.run(1_000)
         client, clock = self.a.clients[0], self.group.clock
         renew = client.renew_lease
@@ -178,7 +178,7 @@
         self.assertEqual(before_ms, self.renewals()[-1])
 
     def test_lost_registration_answer_is_not_a_conflict(self):
-        """The entry would never count as registered."""
+        """An entry must count as registered although the store's answer was lost."""
         self.a.clients[0].lose = 1
         self.group.run(1_000)
         key = f"entries/{self.a.process_id}"
@@ -187,7 +187,7 @@
         self.assertEqual(1, len(self.renewals()))
 
     def test_calls_back_off_during_an_outage(self):
-        """Entries that retry without pause would keep the store down."""
+        """Entries must not overload an unavailable store with retries."""
         self.group.run(1_000)
         calls = []
 
--- a/tests/test_store_session_network.py
+++ b/tests/test_store_session_network.py
@@ -17,8 +17,8 @@
 from cranberrywheel_standin.platform import Faults, Platform, PlatformApp
 
 
-class SharingNetworkTest(testtools.TestCase):
-    """Two entries with threads and sockets; guards the wiring of the parts."""
+class StoreSessionNetworkTest(testtools.TestCase):
+    """Two entries with threads and sockets; guards how the components are connected."""
 
     def setUp(self):
         super().setUp()
@@ -29,11 +29,11 @@
         self.addCleanup(thread.join)
         self.addCleanup(server.shutdown)
         url = f"http://127.0.0.1:{server.server_port}"
-        self.store = PlatformSettings(url=url, timeout_ms=5_000)
+        self.platform_settings = PlatformSettings(url=url, timeout_ms=5_000)
 
     def start_entry(self, number, port):
         peer = Peer(number, port, lambda incoming: None)
-        settings = dataclasses.replace(peer.settings, platform=self.store)
+        settings = dataclasses.replace(peer.settings, platform=self.platform_settings)
         peer.session = StoreSession(settings, Clock(), peer.dispatch, peer.exchange)
         peer.service.start()
         peer.session.start()
@@ -49,8 +49,8 @@
         self.ask(peer, Stop).result(WAIT_S)
         peer.service.stop()
 
-    def test_grant_and_withdrawal_reach_the_other_entry(self):
-        """Both must be in force at an entry that did not accept them."""
+    def test_key_creation_and_revocation_reach_the_other_entry(self):
+        """Both must take effect at an entry that did not accept them."""
         a, b = (self.start_entry(n, p) for n, p in enumerate(free_ports(2)))
         self.assertEqual(1, self.ask(a, ApplyText, TEXT, 0).result(WAIT_S))
         key_id = self.ask(b, GrantKey, "t").result(WAIT_S).partition(".")[0]
@@ -58,15 +58,15 @@
         ids = [a.exchange.process_id, b.exchange.process_id]
         expected = {"stored": True, "confirmed": ids, "unconfirmed": []}
         self.assertEqual(expected, result)
-        # A peer confirms with its mark or with the stored version, whichever it has;
-        # a mark goes only when the version is there, so marks are read first.
-        refused = b.exchange.list_unwritten_tombstones()
-        refused |= b.exchange.holder.snapshot.withdrawn_ids
-        self.assertIn(key_id, refused)
+        # A peer confirms with its tombstone or with the stored version. It removes
+        # the tombstone only once it has that version, so tombstones are read first.
+        revoked_ids = b.exchange.list_unwritten_tombstones()
+        revoked_ids |= b.exchange.holder.snapshot.withdrawn_ids
+        self.assertIn(key_id, revoked_ids)
 
     def test_store_client_reports_what_the_platform_answers(self):
         """A lost answer must not look like a refusal."""
-        client = StoreClient(self.store)
+        client = StoreClient(self.platform_settings)
         self.addCleanup(client.close)
         revision = client.put("limits/a b", "{}", 0)
         self.assertEqual("unchanged", client.get("limits/a b", newer_than=revision))
