--- a/src/cranberrywheel/process/zone_record.py
+++ b/src/cranberrywheel/process/zone_record.py
@@ -1,4 +1,4 @@
-"""The record ``pools/<zone>`` and what the platform was asked to do because of it."""
+"""Store record ``pools/<zone>`` and the platform actions that establish its states."""
 
 import dataclasses
 import typing as t
@@ -11,14 +11,14 @@
     StoreUnavailableError,
 )
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.process import moves
+from cranberrywheel.process import instance_lifecycle
 from cranberrywheel.process.fleet_model import (
+    InstanceAssignment,
     InstanceState,
-    PoolRow,
-    ZonePools,
+    ZonePoolsRecord,
+    add_declared_workers,
     dump_zone_pools,
     parse_zone_pools,
-    seed_zone_pools,
 )
 from cranberrywheel.process.record_store import RecordStore
 from cranberrywheel.process.zone_lease import ZoneLease
@@ -29,11 +29,11 @@
 
 
 class ZoneRecord:
-    """Changes the states of one zone's instances.
+    """Writes the states of one zone's instances and applies them at the platform.
 
-    Each change is written first and repeated at the platform until it is confirmed.
-    A paused planner fails in both places: the write on its revision, the platform
-    call on its fence.
+    Each change is written first; then the platform action is repeated until the
+    platform confirms it. A planner that was paused past its lease fails in both
+    places: its write fails on the revision, its platform call on the fence.
     """
 
     def __init__(
@@ -52,100 +52,111 @@
         self._clock = clock
         self._stored: StoredRecord | None = None
         self._claimed_fence = 0
-        #: Clock reading at which the platform confirmed the recorded state.
+        #: Own clock reading when the platform confirmed the recorded state.
         self._confirmed_ms_by_name: dict[str, int] = {}
-        self.pools = ZonePools(fence=0, rows_by_name={})
+        self.pools = ZonePoolsRecord(fence=0, assignments_by_name={})
 
     def claim(self, configuration: Configuration, now_ms: int) -> bool:
-        """Read the record, write the own fence into it and add new workers.
+        """Read the record and write this planner's fence and new workers into it.
 
+        :param now_ms: wall clock.
         :returns: whether this is the first claim with the present fence.
-        :raises LeaseLostError: if a later planner wrote the record.
+        :raises LeaseLostError: if a planner with a higher fence wrote the record.
         """
         self._stored = self._records.read(self._key)
-        known = parse_zone_pools(self._stored.body) if self._stored else None
+        current = parse_zone_pools(self._stored.body) if self._stored else None
         fence = self._lease.fence
-        if known and known.fence > fence:
-            raise LeaseLostError("A later planner wrote the pools.", "Stand by.")
-        seeded = seed_zone_pools(configuration, self._zone, known, fence, now_ms)
-        if seeded != known:
-            self._write(seeded)
-        self.pools = seeded
+        if current and current.fence > fence:
+            raise LeaseLostError(
+                f"A planner with fence {current.fence} wrote {self._key}; "
+                f"this one has {fence}.",
+                "Nothing to do: this planner stands by.",
+            )
+        completed = add_declared_workers(
+            configuration, self._zone, current, fence, now_ms
+        )
+        if completed != current:
+            self._write(completed)
+        self.pools = completed
         is_first = self._claimed_fence != fence
         if is_first:
-            # The platform must see the new fence for each instance, also for those
-            # that serve: a paused planner could otherwise still drain them.
+            # The platform must see the new fence for each instance, including those
+            # that serve. Otherwise a paused planner could still drain them.
             self._confirmed_ms_by_name.clear()
             self._claimed_fence = fence
             _log.event(
-                "acting for the zone",
+                "acting as planner of the zone",
                 zone=self._zone,
                 fence=fence,
-                instances=len(seeded.rows_by_name),
+                instances=len(completed.assignments_by_name),
             )
         return is_first
 
-    def _write(self, pools: ZonePools) -> None:
+    def _write(self, pools: ZonePoolsRecord) -> None:
         self._lease.check()
         body = dump_zone_pools(pools)
         self._stored = self._records.write(self._key, body, self._stored)
         self.pools = pools
 
-    def change(self, rows_by_name: t.Mapping[str, PoolRow | None]) -> None:
-        """Record new states, then make them true at the platform.
+    def change(
+        self, assignments_by_name: t.Mapping[str, InstanceAssignment | None]
+    ) -> None:
+        """Write new assignments, then apply their states at the platform.
 
-        :param rows_by_name: new rows; ``None`` drops an instance.
+        :param assignments_by_name: new assignments; ``None`` drops an instance.
         """
-        if not rows_by_name:
+        if not assignments_by_name:
             return
         maintained = dict(self.pools.maintained_ms_by_name)
-        rows = dict(self.pools.rows_by_name)
-        for name, row in rows_by_name.items():
-            before = rows.pop(name)
-            if row is None:
+        assignments = dict(self.pools.assignments_by_name)
+        for name, assignment in assignments_by_name.items():
+            before = assignments.pop(name)
+            if assignment is None:
                 maintained.pop(name, None)
-                _log.event("instance left the configuration", instance=name)
+                _log.event(
+                    "dropping instance that left the configuration", instance=name
+                )
                 continue
-            rows[name] = row
+            assignments[name] = assignment
             if before.state is InstanceState.REBOOTING:
-                maintained[name] = row.since_ms
+                maintained[name] = assignment.since_ms
             _log.event(
-                "instance changes state",
+                "changing state of instance",
                 instance=name,
                 before=before.state,
-                after=row.state,
-                pool=row.pool,
-                target_pool=row.target_pool,
+                after=assignment.state,
+                pool=assignment.pool,
+                target_pool=assignment.target_pool,
             )
         self._write(
             dataclasses.replace(
                 self.pools,
-                rows_by_name=rows,
+                assignments_by_name=assignments,
                 maintained_ms_by_name=maintained,
             )
         )
-        for name in rows_by_name:
+        for name in assignments_by_name:
             self._confirmed_ms_by_name.pop(name, None)
         self.confirm()
 
-    def confirmed_for_ms(self, name: str) -> int | None:
-        """Return how long ago the platform confirmed the recorded state.
+    def confirmation_age_ms(self, name: str) -> int | None:
+        """Return the time since the platform confirmed the recorded state.
 
-        :returns: milliseconds, or ``None`` if it has not confirmed it.
+        :returns: milliseconds, or ``None`` if the platform has not confirmed it.
         """
         confirmed_ms = self._confirmed_ms_by_name.get(name)
         return None if confirmed_ms is None else self._clock.now_ms() - confirmed_ms
 
     def confirm(self) -> None:
-        """Repeat the recorded states that the platform has not confirmed.
+        """Send the platform action of each recorded state that is not confirmed.
 
-        :raises LeaseLostError: if a later planner acts for the zone.
+        :raises LeaseLostError: if the platform has seen a higher fence.
         """
-        for name, row in self.pools.rows_by_name.items():
+        for name, assignment in self.pools.assignments_by_name.items():
             if name in self._confirmed_ms_by_name:
                 continue
             self._lease.check()
-            action = moves.action_of(row.state)
+            action = instance_lifecycle.get_platform_action(assignment.state)
             try:
                 accepted = self._client.control_instance(
                     name, action, self._lease.fence
@@ -153,11 +164,18 @@
             except StoreUnavailableError:
                 raise
             except StoreError as error:
-                # The instance list does not show it, so there is nothing to act on.
-                _log.event("action postponed", instance=name, cause=error.message)
+                # The platform does not list the instance, so there is nothing to
+                # act on yet.
+                _log.event(
+                    "platform action refused; retrying next round",
+                    instance=name,
+                    cause=error.message,
+                )
                 continue
             if not accepted:
                 raise LeaseLostError(
-                    f"The platform saw a later fence for {name}.", "Stand by."
+                    f"The platform saw a higher fence than {self._lease.fence} for "
+                    f"{name}.",
+                    "Nothing to do: this planner stands by.",
                 )
             self._confirmed_ms_by_name[name] = self._clock.now_ms()
