--- a/src/cranberrywheel/connection/http_loop.py
+++ b/src/cranberrywheel/connection/http_loop.py
@@ -13,7 +13,7 @@
 import pycurl
 
 from cranberrywheel.clock import Clock
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 
 #: Kept connections; above the executors of the largest planned deployment.
 MAX_CONNECTIONS = 1_024
@@ -25,7 +25,7 @@
 #: Longest sleep of the loop without any timer.
 MAX_WAIT_MS = 1_000
 
-_log = PartLogger("http-loop")
+_log = ComponentLogger("http-loop")
 
 
 @dataclasses.dataclass(frozen=True)
--- a/src/cranberrywheel/connection/http_server.py
+++ b/src/cranberrywheel/connection/http_server.py
@@ -9,7 +9,7 @@
 
 from werkzeug.serving import BaseWSGIServer, WSGIRequestHandler
 
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 
 #: A connection that sends nothing for this long gives its thread back.
 IDLE_TIMEOUT_S = 10
@@ -29,10 +29,10 @@
     + _REFUSAL_BODY
 )
 
-_log = PartLogger("http")
+_log = ComponentLogger("http")
 
 
-class HangupWatcher:
+class DisconnectWatcher:
     """Tells when callers close their connections.
 
     One task waits on all watched sockets, so that a waiting request needs no
--- a/src/cranberrywheel/connection/peer_codec.py
+++ b/src/cranberrywheel/connection/peer_codec.py
@@ -45,7 +45,7 @@
     )
 
 
-def error_answer(request_id: str, error: CranberrywheelError) -> Answer:
+def build_error_answer(request_id: str, error: CranberrywheelError) -> Answer:
     """Build the answer for a request that ended with an error."""
     return Answer(
         request_id=request_id,
--- a/src/cranberrywheel/connection/target_client.py
+++ b/src/cranberrywheel/connection/target_client.py
@@ -13,8 +13,8 @@
 
 from cranberrywheel.clock import Clock
 from cranberrywheel.connection.target_messages import (
-    AttemptEnd,
     AttemptFinished,
+    AttemptOutcome,
     ControlFinished,
     FetchToken,
     FetchUsage,
@@ -24,7 +24,7 @@
     TokenFetched,
     UsageFetched,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 
 #: Refusals that the worker protocol defines as "not started". A ``duplicate``
 #: is not among them: the task may run under the same id.
@@ -42,14 +42,14 @@
 TOKEN_TIMEOUT_MS = 700
 MAX_CONNECTIONS = 1_024
 
-_log = PartLogger("target-client")
+_log = ComponentLogger("target-client")
 
 
 @dataclasses.dataclass(eq=False)
 class _Transfer:
     message: t.Any
     curl: pycurl.Curl
-    asked_ms: int
+    requested_ms: int
     max_body_bytes: int
     body: io.BytesIO = dataclasses.field(default_factory=io.BytesIO)
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -275,7 +275,7 @@
     if isinstance(message, FetchToken):
         token = str(transfer.json().get("token", "")) if status == 200 else ""
         return TokenFetched(
-            worker=message.worker, token=token, asked_ms=transfer.asked_ms
+            worker=message.worker, token=token, requested_ms=transfer.requested_ms
         )
     if isinstance(message, FetchUsage):
         rows = transfer.json().get("tasks", ()) if status == 200 else ()
@@ -293,7 +293,7 @@
         worker=message.worker,
         action=message.action,
         confirmed=status == 200,
-        gone=status == 404,
+        task_unknown=status == 404,
     )
 
 
@@ -307,11 +307,11 @@
     return usage
 
 
-def _end_of(transfer: _Transfer, status: int) -> AttemptEnd:
+def _end_of(transfer: _Transfer, status: int) -> AttemptOutcome:
     if 200 <= status < 300:
-        return AttemptEnd.RAN
+        return AttemptOutcome.RAN
     failed = transfer.json().get("kind") == TASK_FAILED_KIND
-    return AttemptEnd.FAILED if failed else AttemptEnd.STOPPED
+    return AttemptOutcome.FAILED if failed else AttemptOutcome.STOPPED
 
 
 def _queried_state(transfer: _Transfer, status: int) -> str:
@@ -321,7 +321,7 @@
         return "running"
     if transfer.headers.get("task-id") != transfer.message.task_id:
         return ""
-    ends = {AttemptEnd.RAN: "finished", AttemptEnd.FAILED: "failed"}
+    ends = {AttemptOutcome.RAN: "finished", AttemptOutcome.FAILED: "failed"}
     return ends.get(_end_of(transfer, status), "stopped")
 
 
@@ -333,15 +333,15 @@
     if code:
         # Only REQUEST_SIZE 0 shows that no byte of the request left.
         sent = transfer.curl.getinfo(pycurl.REQUEST_SIZE) > 0
-        end = AttemptEnd.BROKEN if sent else AttemptEnd.NOT_SENT
+        end = AttemptOutcome.NO_USABLE_ANSWER if sent else AttemptOutcome.NOT_SENT
         detail = text
     elif status == 409:
         kind = str(transfer.json().get("kind", ""))
         known = kind in NOT_STARTED_KINDS
-        end = AttemptEnd.REFUSED if known else AttemptEnd.BROKEN
+        end = AttemptOutcome.REFUSED if known else AttemptOutcome.NO_USABLE_ANSWER
         detail = f"the worker refused the start as {kind or 'unknown'}"
     elif transfer.headers.get("task-id") != message.task_id:
-        end = AttemptEnd.BROKEN
+        end = AttemptOutcome.NO_USABLE_ANSWER
         detail = "the answer belongs to another task"
         _log.warning(
             "dropped a crossed answer",
@@ -350,19 +350,19 @@
         )
     else:
         end = _end_of(transfer, status)
-        if end is AttemptEnd.STOPPED:
+        if end is AttemptOutcome.STOPPED:
             kind = str(transfer.json().get("kind", ""))
         detail = f"the worker answered with status {status}"
     slots_free = transfer.headers.get("slots-free", "")
     return AttemptFinished(
         task_id=message.task_id,
         worker=message.worker,
-        end=end,
+        outcome=end,
         kind=kind,
         detail=detail,
         body=transfer.body.getvalue(),
         content_type=transfer.headers.get("content-type", ""),
         next_token=transfer.headers.get("next-start-token", ""),
-        asked_ms=transfer.asked_ms,
+        requested_ms=transfer.requested_ms,
         slots_free=int(slots_free) if slots_free.isdigit() else -1,
     )
--- a/src/cranberrywheel/connection/target_messages.py
+++ b/src/cranberrywheel/connection/target_messages.py
@@ -4,7 +4,7 @@
 import enum
 
 
-class AttemptEnd(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """How one attempt at a worker ended."""
 
     #: The worker ran the task and answered with its result.
@@ -18,7 +18,7 @@
     #: Nothing was sent to the worker.
     NOT_SENT = "not-sent"
     #: Something was sent and no usable answer came back.
-    BROKEN = "broken"
+    NO_USABLE_ANSWER = "broken"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -106,13 +106,13 @@
 
     task_id: str
     worker: str
-    end: AttemptEnd
+    outcome: AttemptOutcome
     kind: str = ""
     detail: str = ""
     body: bytes = b""
     content_type: str = ""
     next_token: str = ""
-    asked_ms: int = 0
+    requested_ms: int = 0
     slots_free: int = -1
 
 
@@ -122,7 +122,7 @@
 
     worker: str
     token: str
-    asked_ms: int
+    requested_ms: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -137,7 +137,7 @@
     worker: str
     action: str
     confirmed: bool
-    gone: bool
+    task_unknown: bool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/src/cranberrywheel/logs.py
+++ b/src/cranberrywheel/logs.py
@@ -34,7 +34,7 @@
     return '"' + " ".join(escaped.splitlines()) + '"'
 
 
-class PartLogger:
+class ComponentLogger:
     """Writes events of one part of the program.
 
     :param prefix: name of the part, at the start of each line.
@@ -130,7 +130,7 @@
         self._thread.join(timeout=1)
 
 
-def write_to_stdout() -> t.Callable[[], None]:
+def log_to_stdout() -> t.Callable[[], None]:
     """Write all events to standard output through a bounded buffer.
 
     :returns: a function that writes what is left and ends the writer.
--- a/src/cranberrywheel/node/duties.py
+++ b/src/cranberrywheel/node/duties.py
@@ -4,7 +4,7 @@
 import typing as t
 
 from cranberrywheel.connection.http_loop import HttpLoop
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.node.keys import LEADER_KEY, WAVE_PREFIX
 from cranberrywheel.node.pool_moves import PoolMoves
 from cranberrywheel.node.watch import PrefixWatch
@@ -26,7 +26,7 @@
 #: Pause before an order that got no answer is repeated.
 RETRY_MS = 700
 
-_log = PartLogger("duties")
+_log = ComponentLogger("duties")
 
 
 class Duties:
--- a/src/cranberrywheel/node/front.py
+++ b/src/cranberrywheel/node/front.py
@@ -8,7 +8,7 @@
 
 from werkzeug.wrappers import Request, Response
 
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.node.intake import Acceptance
 from cranberrywheel.node.metrics import Metrics
 from cranberrywheel.platform import callers as wire
@@ -24,7 +24,7 @@
 
 _ID = re.compile(r"[0-9a-f]{16}", re.IGNORECASE)
 
-_log = PartLogger("front")
+_log = ComponentLogger("front")
 
 
 class Backend(t.Protocol):
--- a/src/cranberrywheel/node/intake.py
+++ b/src/cranberrywheel/node/intake.py
@@ -6,7 +6,7 @@
 import typing as t
 
 from cranberrywheel.connection.http_loop import HttpLoop
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.node.keys import FINAL_SUFFIX, submission_key
 from cranberrywheel.platform.store import Outcome, Store, StoreReply, Write
 from cranberrywheel.submission.model import Submission
@@ -19,7 +19,7 @@
 #: Pause before a write that did not happen is tried again.
 RETRY_MS = 150
 
-_log = PartLogger("intake")
+_log = ComponentLogger("intake")
 
 
 class Acceptance(enum.Enum):
--- a/src/cranberrywheel/node/leader.py
+++ b/src/cranberrywheel/node/leader.py
@@ -5,7 +5,7 @@
 import typing as t
 
 from cranberrywheel.connection.http_loop import HttpLoop
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.node.duties import Duties
 from cranberrywheel.node.keys import (
     CANCEL_SUFFIX,
@@ -64,7 +64,7 @@
 #: Starts under way at one executor; each needs a connection of its own.
 MAX_STARTS = 2
 
-_log = PartLogger("leader")
+_log = ComponentLogger("leader")
 
 
 def unix_ms() -> int:
--- a/src/cranberrywheel/node/leadership.py
+++ b/src/cranberrywheel/node/leadership.py
@@ -5,7 +5,7 @@
 import typing as t
 
 from cranberrywheel.connection.http_loop import HttpLoop
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.node.keys import HANDOVER_KEY, LEADER_KEY, TERM_KEY
 from cranberrywheel.node.watch import PrefixWatch
 from cranberrywheel.platform.store import Item, Outcome, Store, StoreReply, Write
@@ -42,7 +42,7 @@
 #: Pause before the next try to take the leadership.
 RETRY_MS = 200
 
-_log = PartLogger("leadership")
+_log = ComponentLogger("leadership")
 
 
 def lead_capacity(cores: float, link_mbps: float) -> float:
--- a/src/cranberrywheel/node/node.py
+++ b/src/cranberrywheel/node/node.py
@@ -12,7 +12,7 @@
 from cranberrywheel.clock import Clock
 from cranberrywheel.connection.http_loop import HttpLoop, HttpReply, HttpRequest
 from cranberrywheel.connection.http_server import HttpServer
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.node.front import FrontApi
 from cranberrywheel.node.intake import Acceptance, Intake
 from cranberrywheel.node.keys import (
@@ -70,7 +70,7 @@
 PEER_THREADS = 48
 SIGNAL_POLL_S = 0.2
 
-_log = PartLogger("node")
+_log = ComponentLogger("node")
 T = t.TypeVar("T")
 
 
--- a/src/cranberrywheel/node/pool_moves.py
+++ b/src/cranberrywheel/node/pool_moves.py
@@ -4,7 +4,7 @@
 import typing as t
 
 from cranberrywheel.connection.http_loop import HttpLoop
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.node.keys import HOMES_KEY, LEADER_KEY
 from cranberrywheel.platform.machines import MachineClient
 from cranberrywheel.platform.store import Outcome, Store, StoreReply, Write
@@ -23,7 +23,7 @@
 MOVE_TIMEOUT_MS = 6_000
 RETRY_MS = 700
 
-_log = PartLogger("pools")
+_log = ComponentLogger("pools")
 
 
 class PoolMoves:
--- a/src/cranberrywheel/node/store_contact.py
+++ b/src/cranberrywheel/node/store_contact.py
@@ -5,7 +5,7 @@
 import typing as t
 
 from cranberrywheel.connection.http_loop import HttpLoop, HttpReply, HttpRequest
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 
 STATUS_PATH = "/peer/status"
 #: Path prefix under which a peer passes a call on to the store.
@@ -25,7 +25,7 @@
 #: Longer than all leases that a leader without the store may have granted.
 MEMORY_MS = 8_000
 
-_log = PartLogger("store-contact")
+_log = ComponentLogger("store-contact")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/cranberrywheel/node/watch.py
+++ b/src/cranberrywheel/node/watch.py
@@ -3,7 +3,7 @@
 import typing as t
 
 from cranberrywheel.connection.http_loop import HttpLoop
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.platform.store import Item, Outcome, Store, StoreReply
 
 #: Longest silence of one watch call. A connection that went silent is noticed after
@@ -12,7 +12,7 @@
 #: Pause after a call that got no answer.
 RETRY_MS = 250
 
-_log = PartLogger("watch")
+_log = ComponentLogger("watch")
 
 
 class PrefixWatch:
--- a/src/cranberrywheel/platform/executors.py
+++ b/src/cranberrywheel/platform/executors.py
@@ -6,7 +6,7 @@
 import pydantic
 
 from cranberrywheel.connection.http_loop import HttpLoop, HttpReply, HttpRequest
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.submission.model import Resources
 from cranberrywheel.submission.orders import (
     EndRow,
@@ -30,7 +30,7 @@
 #: Longest list of executors in one call for advice.
 MAX_ADVISED = 100
 
-_log = PartLogger("executors")
+_log = ComponentLogger("executors")
 
 
 class _Wire(pydantic.BaseModel):
--- a/src/cranberrywheel/platform/machines.py
+++ b/src/cranberrywheel/platform/machines.py
@@ -6,7 +6,7 @@
 import pydantic
 
 from cranberrywheel.connection.http_loop import HttpLoop, HttpReply, HttpRequest
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.submission.machines import (
     DutyVerdict,
     Machine,
@@ -18,7 +18,7 @@
 STATUS_PREFIX = "status/wave/"
 CALL_TIMEOUT_MS = 1_500
 
-_log = PartLogger("machines")
+_log = ComponentLogger("machines")
 
 
 class _Wire(pydantic.BaseModel):
--- a/src/cranberrywheel/platform/store.py
+++ b/src/cranberrywheel/platform/store.py
@@ -9,7 +9,7 @@
 import urllib.parse
 
 from cranberrywheel.connection.http_loop import HttpLoop, HttpReply, HttpRequest
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 
 #: The service answers in 4 ms, and in 240 ms while it is slow.
 CALL_TIMEOUT_MS = 800
@@ -18,7 +18,7 @@
 #: Entries that one write may hold.
 MAX_WRITE_ENTRIES = 32
 
-_log = PartLogger("store")
+_log = ComponentLogger("store")
 
 
 class Outcome(enum.Enum):
--- a/src/cranberrywheel/process/admission.py
+++ b/src/cranberrywheel/process/admission.py
@@ -16,7 +16,7 @@
 from cranberrywheel.settings import EntrySettings
 from cranberrywheel.version.configuration import Queue
 from cranberrywheel.version.freshness import FreshnessTracker
-from cranberrywheel.version.keys import authorize
+from cranberrywheel.version.keys import authenticate
 from cranberrywheel.version.snapshot import ConfigurationSnapshot
 
 MAX_HEADER_CHARS = 1_024
@@ -64,7 +64,7 @@
     """
     if queue.open_to_all:
         return ""
-    key = authorize(authorization, snapshot.keys_by_id, snapshot.withdrawn_ids)
+    key = authenticate(authorization, snapshot.keys_by_id, snapshot.revoked_key_ids)
     if key.key_id in marked_ids:
         raise UnauthorizedError("The key was withdrawn.", "Ask an operator for a key.")
     bound_ms = settings.key_freshness_ms
--- a/src/cranberrywheel/process/attempt.py
+++ b/src/cranberrywheel/process/attempt.py
@@ -3,7 +3,7 @@
 import dataclasses
 import enum
 
-from cranberrywheel.connection.target_messages import AttemptEnd
+from cranberrywheel.connection.target_messages import AttemptOutcome
 from cranberrywheel.process.worker_table import WorkerRow
 from cranberrywheel.request.model import Request
 from cranberrywheel.version.configuration import Queue
@@ -58,7 +58,7 @@
     """
 
     attempt: Attempt
-    end: AttemptEnd
+    end: AttemptOutcome
     kind: str = ""
     detail: str = ""
     body: bytes = b""
@@ -67,4 +67,4 @@
 
     @property
     def started(self) -> bool:
-        return self.end not in (AttemptEnd.REFUSED, AttemptEnd.NOT_SENT)
+        return self.end not in (AttemptOutcome.REFUSED, AttemptOutcome.NOT_SENT)
--- a/src/cranberrywheel/process/attempts.py
+++ b/src/cranberrywheel/process/attempts.py
@@ -5,8 +5,8 @@
 
 from cranberrywheel.clock import Clock
 from cranberrywheel.connection.target_messages import (
-    AttemptEnd,
     AttemptFinished,
+    AttemptOutcome,
     ControlFinished,
     ControlTask,
     FetchToken,
@@ -17,13 +17,13 @@
     TokenFetched,
     UsageFetched,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.attempt import Attempt, AttemptResult, AttemptState
 from cranberrywheel.process.limit_units import UnitLedger
 from cranberrywheel.process.timers import Timers
 from cranberrywheel.process.worker_table import AttemptVerdict, WorkerRow, WorkerTable
 from cranberrywheel.request.model import Request
-from cranberrywheel.settings import LimitSettings
+from cranberrywheel.settings import QuotaSettings
 from cranberrywheel.version.configuration import Queue
 
 #: Pause between two tries to stop or query a task.
@@ -33,7 +33,7 @@
 #: Renewals are sent this often per task lease.
 RENEWALS_PER_LEASE = 3
 
-_log = PartLogger("attempts")
+_log = ComponentLogger("attempts")
 
 
 class Attempts:
@@ -47,7 +47,7 @@
     def __init__(
         self,
         clock: Clock,
-        settings: LimitSettings,
+        settings: QuotaSettings,
         ledger: UnitLedger,
         workers: WorkerTable,
         timers: Timers,
@@ -129,7 +129,9 @@
         request = attempt.request
         if request.team and not self._ledger.may_renew(attempt.task_id, now_ms):
             self._end(attempt, AttemptVerdict.REFUSED)
-            self._report(attempt, AttemptEnd.NOT_SENT, detail="the unit has expired")
+            self._report(
+                attempt, AttemptOutcome.NOT_SENT, detail="the unit has expired"
+            )
             return True
         attempt.state = AttemptState.RUNNING
         attempt.sent_ms = attempt.lease_sent_ms = now_ms
@@ -158,13 +160,13 @@
     def token_fetched(self, message: TokenFetched) -> None:
         """Send the attempts that waited for a start token."""
         if message.token:
-            self._workers.set_token(message.worker, message.token, message.asked_ms)
+            self._workers.set_token(message.worker, message.token, message.requested_ms)
         for task_id in self._waiting_by_worker.pop(message.worker, []):
             attempt = self._by_task.get(task_id)
             if attempt is None or self._send(attempt):
                 continue
             self._end(attempt, AttemptVerdict.UNREACHABLE)
-            self._report(attempt, AttemptEnd.NOT_SENT, detail="no start token")
+            self._report(attempt, AttemptOutcome.NOT_SENT, detail="no start token")
 
     def finished(self, message: AttemptFinished) -> None:
         """Handle the end of an attempt's connection."""
@@ -177,13 +179,13 @@
             self._workers.set_token(
                 message.worker, message.next_token, self._clock.now_ms()
             )
-        if message.end is AttemptEnd.BROKEN:
+        if message.outcome is AttemptOutcome.NO_USABLE_ANSWER:
             self._connection_broke(attempt, message)
             return
         self._end(attempt, _verdict_of(message))
         self._report(
             attempt,
-            message.end,
+            message.outcome,
             kind=message.kind,
             detail=message.detail,
             body=message.body,
@@ -200,7 +202,7 @@
             self._query(attempt)
         self._report(
             attempt,
-            AttemptEnd.BROKEN,
+            AttemptOutcome.NO_USABLE_ANSWER,
             kind=message.kind,
             detail=message.detail,
             last=False,
@@ -213,7 +215,7 @@
             return
         if attempt.state is AttemptState.NEEDS_TOKEN:
             self._end(attempt, AttemptVerdict.CANCELLED)
-            self._report(attempt, AttemptEnd.NOT_SENT, detail="cancelled")
+            self._report(attempt, AttemptOutcome.NOT_SENT, detail="cancelled")
             return
         attempt.state = AttemptState.STOPPING
         self._control(attempt, "stop")
@@ -249,12 +251,12 @@
             return
         # A start may still be on its way until its token is too old.
         settled = self._clock.now_ms() - attempt.sent_ms > self._token_bound_ms()
-        if message.confirmed or (message.gone and settled):
+        if message.confirmed or (message.task_unknown and settled):
             self._end(attempt, AttemptVerdict.CANCELLED)
             _log.event(
                 "task stopped", request_id=attempt.task_id, worker=attempt.worker.name
             )
-            self._report(attempt, AttemptEnd.BROKEN, detail="stopped")
+            self._report(attempt, AttemptOutcome.NO_USABLE_ANSWER, detail="stopped")
             return
         self._retry_control(attempt, lambda: self._control(attempt, "stop"))
 
@@ -268,14 +270,16 @@
             self._end(attempt, AttemptVerdict.OK if ran else AttemptVerdict.FAILED)
             self._report(
                 attempt,
-                AttemptEnd.RAN if ran else AttemptEnd.FAILED,
+                AttemptOutcome.RAN if ran else AttemptOutcome.FAILED,
                 detail="the worker was asked for the result",
                 body=message.body,
                 content_type=message.content_type,
             )
         elif message.state == "stopped":
             self._end(attempt, AttemptVerdict.UNREACHABLE)
-            self._report(attempt, AttemptEnd.BROKEN, detail="stopped at the worker")
+            self._report(
+                attempt, AttemptOutcome.NO_USABLE_ANSWER, detail="stopped at the worker"
+            )
         else:
             if message.state == "running":
                 attempt.seen_running_ms = self._clock.now_ms()
@@ -330,7 +334,11 @@
             bound_ms = (lease_ms + self._settings.start_token_ms) * 101 // 100
             if since_ms > bound_ms:
                 self._end(attempt, AttemptVerdict.UNREACHABLE)
-                self._report(attempt, AttemptEnd.BROKEN, detail="the lease has expired")
+                self._report(
+                    attempt,
+                    AttemptOutcome.NO_USABLE_ANSWER,
+                    detail="the lease has expired",
+                )
 
     def _renew(self, attempt: Attempt, now_ms: int) -> None:
         team = attempt.request.team
@@ -368,17 +376,17 @@
         if attempt.request.team:
             self._ledger.give_back(attempt.task_id)
 
-    def _report(self, attempt: Attempt, end: AttemptEnd, **fields: t.Any) -> None:
+    def _report(self, attempt: Attempt, end: AttemptOutcome, **fields: t.Any) -> None:
         self._on_result(AttemptResult(attempt=attempt, end=end, **fields))
 
 
 def _verdict_of(message: AttemptFinished) -> AttemptVerdict:
-    if message.end is AttemptEnd.RAN:
+    if message.outcome is AttemptOutcome.RAN:
         return AttemptVerdict.OK
-    if message.end is AttemptEnd.FAILED:
+    if message.outcome is AttemptOutcome.FAILED:
         return AttemptVerdict.FAILED
-    if message.end is AttemptEnd.STOPPED:
+    if message.outcome is AttemptOutcome.STOPPED:
         return AttemptVerdict.CANCELLED
-    if message.end is AttemptEnd.NOT_SENT:
+    if message.outcome is AttemptOutcome.NOT_SENT:
         return AttemptVerdict.UNREACHABLE
     return AttemptVerdict.REFUSED
--- a/src/cranberrywheel/process/caller_api.py
+++ b/src/cranberrywheel/process/caller_api.py
@@ -10,7 +10,7 @@
 import werkzeug
 from werkzeug.exceptions import HTTPException, RequestEntityTooLarge
 
-from cranberrywheel.connection.http_server import HangupWatcher
+from cranberrywheel.connection.http_server import DisconnectWatcher
 from cranberrywheel.errors import (
     CranberrywheelError,
     MalformedRequestError,
@@ -65,7 +65,7 @@
         self._post = post
         self._is_ready = is_ready
         self._fallback = fallback
-        self._hangups = HangupWatcher()
+        self._hangups = DisconnectWatcher()
 
     def __call__(self, environ: t.Any, start_response: t.Any) -> t.Any:
         request = werkzeug.Request(environ)
--- a/src/cranberrywheel/process/configuration_writer.py
+++ b/src/cranberrywheel/process/configuration_writer.py
@@ -14,14 +14,14 @@
     StoreUnavailableError,
     VersionConflictError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.exchange import PeerExchange
 from cranberrywheel.process.messages import ApplyText, GrantKey, WithdrawKey
 from cranberrywheel.process.record_writer import RecordWriter
 from cranberrywheel.settings import EntrySettings
-from cranberrywheel.version.adoption import (
+from cranberrywheel.version.active_configuration import (
     CONFIGURATION_KEY,
-    dump_body,
+    build_configuration_body,
     read_snapshot,
 )
 from cranberrywheel.version.configuration import parse_configuration
@@ -41,7 +41,7 @@
 
 #: Derives the next body from the present record, and the operator's result.
 Change = t.Callable[[StoredRecord | None], tuple[dict[str, t.Any], t.Any]]
-_log = PartLogger("configuration")
+_log = ComponentLogger("configuration")
 
 
 def settle(
@@ -96,7 +96,9 @@
             )
         keys = snapshot.keys_by_id if snapshot else {}
         withdrawn = stored.body.get("withdrawn", []) if stored else []
-        return dump_body(message.text, present + 1, keys, withdrawn), present + 1
+        return build_configuration_body(
+            message.text, present + 1, keys, withdrawn
+        ), present + 1
 
     return change
 
@@ -114,7 +116,9 @@
             )
         keys = {**snapshot.keys_by_id, entry.key_id: entry}
         withdrawn = stored.body.get("withdrawn", []) if stored else []
-        return dump_body(snapshot.text, snapshot.text_version, keys, withdrawn), key
+        return build_configuration_body(
+            snapshot.text, snapshot.text_version, keys, withdrawn
+        ), key
 
     return change
 
@@ -129,7 +133,9 @@
         keys = {i: k for i, k in snapshot.keys_by_id.items() if i not in key_ids}
         withdrawn = list(stored.body.get("withdrawn", []))
         withdrawn += sorted(i for i in key_ids if i not in withdrawn)
-        return dump_body(snapshot.text, snapshot.text_version, keys, withdrawn), None
+        return build_configuration_body(
+            snapshot.text, snapshot.text_version, keys, withdrawn
+        ), None
 
     return change
 
@@ -208,7 +214,7 @@
         snapshot = self._peers.holder.snapshot
         if snapshot is None or key_id not in {
             *snapshot.keys_by_id,
-            *snapshot.withdrawn_ids,
+            *snapshot.revoked_key_ids,
         }:
             # Another entry may have granted it a moment ago.
             try:
@@ -217,7 +223,7 @@
                 return True
             snapshot = read_snapshot(stored) if stored else None
         return snapshot is not None and (
-            key_id in snapshot.keys_by_id or key_id in snapshot.withdrawn_ids
+            key_id in snapshot.keys_by_id or key_id in snapshot.revoked_key_ids
         )
 
     def step(self, now_ms: int, store_allowed: bool) -> None:
@@ -332,7 +338,7 @@
         snapshot = self._peers.holder.snapshot
         for withdrawal in list(self._withdrawals):
             key_id = withdrawal.message.key_id
-            stored = snapshot is not None and key_id in snapshot.withdrawn_ids
+            stored = snapshot is not None and key_id in snapshot.revoked_key_ids
             confirmed, unconfirmed = self._peers.confirmations(key_id)
             # An older roster may lack an entry that has the key.
             known = self._peers.knows_roster_of(withdrawal.accepted_ms)
--- a/src/cranberrywheel/process/dispatcher.py
+++ b/src/cranberrywheel/process/dispatcher.py
@@ -5,7 +5,7 @@
 import typing as t
 
 from cranberrywheel.connection import target_messages
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process import messages as m
 from cranberrywheel.process.entry_state import EntryState
 from cranberrywheel.process.placement import Placement
@@ -19,7 +19,7 @@
 #: Messages handled before timers get a turn.
 MESSAGES_PER_TURN = 200
 
-_log = PartLogger("dispatcher")
+_log = ComponentLogger("dispatcher")
 
 
 class Dispatcher:
@@ -57,7 +57,7 @@
             m.ReadStatus: lambda msg: msg.status.set_result(self._status()),
             m.ReadFleet: lambda msg: msg.fleet.set_result(state.fleet.describe()),
             m.ConfigurationAdopted: self._adopt,
-            m.ProofTaken: lambda msg: state.freshness.proven(msg.taken_ms),
+            m.ProofTaken: lambda msg: state.freshness.record_proof(msg.taken_ms),
             m.MarkWithdrawn: lambda msg: state.marked_ids.add(msg.key_id),
             m.PoolsChanged: state.fleet.set_pools,
             m.InstancesListed: lambda msg: state.fleet.set_instances(msg.listed),
@@ -146,7 +146,7 @@
     def _export_results(self, message: m.ExportResults) -> None:
         tickets = self._state.tickets
         own = (self._state.process_id, tickets.export_results(self._now_ms()))
-        message.exports.set_result([own, *tickets.export_handed_over()])
+        message.exports.set_result([own, *tickets.export_imported_results()])
 
     def _results_handed_over(self, message: m.ResultsHandedOver) -> None:
         self._state.tickets.import_results(message.process_id, message.export)
--- a/src/cranberrywheel/process/entry.py
+++ b/src/cranberrywheel/process/entry.py
@@ -10,7 +10,7 @@
 from cranberrywheel.connection.http_server import HttpServer
 from cranberrywheel.connection.target_client import TargetClient
 from cranberrywheel.errors import CranberrywheelError, SettingsError
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process import messages as m
 from cranberrywheel.process.caller_api import CallerApi
 from cranberrywheel.process.dispatcher import Dispatcher
@@ -30,7 +30,7 @@
 SIGNAL_POLL_S = 0.2
 STORE_STOP_WAIT_S = 5
 
-_log = PartLogger("entry")
+_log = ComponentLogger("entry")
 
 
 def read_token(path: str) -> str:
--- a/src/cranberrywheel/process/entry_state.py
+++ b/src/cranberrywheel/process/entry_state.py
@@ -18,7 +18,7 @@
 from cranberrywheel.request.fair_queue import FairQueue
 from cranberrywheel.request.model import Answer
 from cranberrywheel.request.retry import RetryBudget
-from cranberrywheel.request.ticket import TicketBook
+from cranberrywheel.request.ticket import TicketRegistry
 from cranberrywheel.settings import EntrySettings
 from cranberrywheel.version.freshness import FreshnessTracker
 from cranberrywheel.version.snapshot import ConfigurationSnapshot
@@ -60,7 +60,7 @@
     ledger: UnitLedger
     workers: WorkerTable
     fleet: FleetView
-    tickets: TicketBook
+    tickets: TicketRegistry
     metrics: Metrics
     snapshot: ConfigurationSnapshot | None = None
     drained: bool = False
@@ -98,5 +98,5 @@
         workers=workers,
         fleet=FleetView(process_id, workers),
         metrics=Metrics(settings.statsd_host, settings.statsd_port),
-        tickets=TicketBook(process_id, settings, secrets.token_bytes(32)),
+        tickets=TicketRegistry(process_id, settings, secrets.token_bytes(32)),
     )
--- a/src/cranberrywheel/process/exchange.py
+++ b/src/cranberrywheel/process/exchange.py
@@ -9,7 +9,7 @@
 from cranberrywheel.connection.store_client import InstanceList, Record
 from cranberrywheel.errors import PeerError, StoreError
 from cranberrywheel.generated.peer_pb2 import ConfigurationRecord, PeerState
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.membership import (
     Membership,
     Registration,
@@ -26,7 +26,7 @@
     ProofTaken,
 )
 from cranberrywheel.settings import EntrySettings
-from cranberrywheel.version.adoption import ConfigurationHolder
+from cranberrywheel.version.active_configuration import ActiveConfiguration
 from cranberrywheel.version.freshness import FreshnessTracker
 from cranberrywheel.version.snapshot import ConfigurationSnapshot
 
@@ -40,7 +40,7 @@
 STORE_DOWN_FRACTION = 0.75
 _NAME = re.compile(r"[A-Za-z0-9_.:-]{1,200}")
 
-_log = PartLogger("exchange")
+_log = ComponentLogger("exchange")
 
 
 def check_names(names: t.Iterable[str]) -> None:
@@ -95,7 +95,7 @@
     ) -> None:
         self.process_id = process_id
         self.registration = own_registration(settings, process_id)
-        self.holder = ConfigurationHolder(self._adopted)
+        self.holder = ActiveConfiguration(self._adopted)
         self._settings = settings
         self._clock = clock
         self._to_dispatcher = to_dispatcher
@@ -139,7 +139,7 @@
         :param taken_ms: own clock reading before the read was sent.
         """
         with self._lock:
-            self._store_read.proven(taken_ms)
+            self._store_read.record_proof(taken_ms)
         self._prove(taken_ms)
 
     def store_read_age_ms(self) -> int | None:
@@ -153,7 +153,7 @@
     def _prove(self, taken_ms: int) -> None:
         """Note that every accepted withdrawal up to a time is known here."""
         with self._lock:
-            if self._proof.proven(taken_ms):
+            if self._proof.record_proof(taken_ms):
                 self._to_dispatcher(ProofTaken(taken_ms))
 
     def _is_store_down(self) -> bool:
@@ -172,7 +172,7 @@
         with self._lock:
             if key_id in self._marks:
                 return
-            if snapshot is not None and key_id in snapshot.withdrawn_ids:
+            if snapshot is not None and key_id in snapshot.revoked_key_ids:
                 return
             self._marks.add(key_id)
             self._to_dispatcher(MarkWithdrawn(key_id))
@@ -183,7 +183,7 @@
         snapshot = self.holder.snapshot
         with self._lock:
             if snapshot is not None:
-                self._marks -= snapshot.withdrawn_ids
+                self._marks -= snapshot.revoked_key_ids
             return set(self._marks)
 
     def confirmations(self, key_id: str) -> tuple[list[str], list[str]]:
@@ -192,7 +192,7 @@
         :returns: process ids that confirmed, this one first, and all others.
         """
         snapshot = self.holder.snapshot
-        stored = snapshot is not None and key_id in snapshot.withdrawn_ids
+        stored = snapshot is not None and key_id in snapshot.revoked_key_ids
         confirmed, unconfirmed = [self.process_id], []
         with self._lock:
             for peer in self._membership.peers():
@@ -305,7 +305,7 @@
                 if word.process_id != self.process_id:
                     self._membership.heard(word.process_id, sent_ms - word.age_ms)
             if state.has_store_read:
-                self._store_read.proven(sent_ms - state.store_read_age_ms)
+                self._store_read.record_proof(sent_ms - state.store_read_age_ms)
             all_heard_ms = None
             if self._is_store_down():
                 all_heard_ms = self._membership.all_heard_ms()
--- a/src/cranberrywheel/process/limit_units.py
+++ b/src/cranberrywheel/process/limit_units.py
@@ -10,7 +10,7 @@
 import typing as t
 
 from cranberrywheel.process.limit_record import HolderRow, LimitRecord
-from cranberrywheel.settings import LimitSettings
+from cranberrywheel.settings import QuotaSettings
 
 #: Part of its base that an idle holder keeps when others want units.
 RESERVE_FRACTION = 0.25
@@ -24,7 +24,7 @@
     :param settings: hold times.
     """
 
-    def __init__(self, settings: LimitSettings) -> None:
+    def __init__(self, settings: QuotaSettings) -> None:
         self._settings = settings
         self._held_by_team: dict[str, tuple[int, int]] = {}
         self._limits_by_team: dict[str, int] = {}
@@ -366,7 +366,7 @@
     holder: str,
     absence: Absence,
     now_ms: int,
-    settings: LimitSettings,
+    settings: QuotaSettings,
 ) -> LimitRecord:
     """Free the units of a missing or replaced holder after its hold times.
 
--- a/src/cranberrywheel/process/peer_service.py
+++ b/src/cranberrywheel/process/peer_service.py
@@ -15,9 +15,9 @@
 
 from cranberrywheel.clock import Clock
 from cranberrywheel.connection.peer_codec import (
+    build_error_answer,
     decode_answer,
     encode_answer,
-    error_answer,
 )
 from cranberrywheel.errors import (
     CranberrywheelError,
@@ -27,7 +27,7 @@
 )
 from cranberrywheel.generated import peer_pb2
 from cranberrywheel.generated.peer_grpc import PeerBase, PeerStub
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.exchange import PeerExchange, check_names
 from cranberrywheel.process.messages import IncomingRequest, LoadReport
 from cranberrywheel.request.model import Answer
@@ -53,7 +53,7 @@
 )
 
 Channels = dict[str, grpclib.client.Channel]
-_log = PartLogger("peer")
+_log = ComponentLogger("peer")
 
 
 class _Handlers(PeerBase):
@@ -124,7 +124,7 @@
                 asyncio.wrap_future(self._submit_forwarded(incoming))
             )
         except CranberrywheelError as error:
-            answer = error_answer(incoming.request_id, error)
+            answer = build_error_answer(incoming.request_id, error)
         except asyncio.CancelledError:
             self._cancel_forwarded(incoming.request_id)
             if not self.stopping:
--- a/src/cranberrywheel/process/placement.py
+++ b/src/cranberrywheel/process/placement.py
@@ -1,13 +1,13 @@
 """Requests between queues and workers: placement, results, retries."""
 
 from cranberrywheel.connection.target_client import CHECKPOINTED_KIND
-from cranberrywheel.connection.target_messages import AttemptEnd
+from cranberrywheel.connection.target_messages import AttemptOutcome
 from cranberrywheel.errors import (
     NeverFitsError,
     OverloadedError,
     TargetFailedError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.attempt import AttemptResult
 from cranberrywheel.process.attempts import Attempts
 from cranberrywheel.process.entry_state import EntryState
@@ -15,12 +15,12 @@
 from cranberrywheel.process.request_flow import RequestFlow
 from cranberrywheel.request.model import Answer, Outcome, Request
 from cranberrywheel.request.problem import problem_answer
-from cranberrywheel.request.retry import blames_request, plan_retry
+from cranberrywheel.request.retry import plan_retry, request_caused_failures
 
 #: Workers that must say "does not fit" before a request counts as impossible.
 MISFITS_TO_REFUSE = 2
 
-_log = PartLogger("placement")
+_log = ComponentLogger("placement")
 
 
 class Placement:
@@ -89,7 +89,7 @@
         if task_id is None:
             return False
         if request.ticket:
-            self._state.tickets.started(request.ticket)
+            self._state.tickets.mark_started(request.ticket)
         pending.task_id = task_id
         pending.attempts += 1
         self._state.fleet.count_started(request.team, request.service)
@@ -110,7 +110,7 @@
         request = result.attempt.request
         if result.last:
             self._state.fleet.count_ended(request.team, request.service)
-        if result.end is AttemptEnd.RAN:
+        if result.end is AttemptOutcome.RAN:
             self._state.estimates.record(
                 request.queue,
                 self._state.clock.now_ms() - result.attempt.sent_ms,
@@ -121,7 +121,7 @@
         if pending is None or pending.task_id != result.attempt.task_id:
             return
         pending.may_have_run = pending.may_have_run or result.started
-        if result.end in (AttemptEnd.RAN, AttemptEnd.FAILED):
+        if result.end in (AttemptOutcome.RAN, AttemptOutcome.FAILED):
             self._target_answered(pending, result)
         elif result.kind == CHECKPOINTED_KIND:
             self._continue_later(pending, result.attempt.task_id)
@@ -132,7 +132,7 @@
 
     def _target_answered(self, pending: PendingRequest, result: AttemptResult) -> None:
         request = pending.request
-        if result.end is AttemptEnd.RAN:
+        if result.end is AttemptOutcome.RAN:
             answer = Answer(
                 request_id=request.request_id,
                 outcome=Outcome.OK,
@@ -206,7 +206,7 @@
         request = pending.request
         if not certainly_not_started:
             pending.failed_workers.add(result.attempt.worker.name)
-            if blames_request(pending.failed_workers):
+            if request_caused_failures(pending.failed_workers):
                 self._state.workers.excuse(pending.failed_workers, now_ms)
                 _log.event("request failed everywhere", request_id=request.request_id)
                 return False
--- a/src/cranberrywheel/process/planner.py
+++ b/src/cranberrywheel/process/planner.py
@@ -20,7 +20,7 @@
     StoreError,
     StoreUnavailableError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process import moves
 from cranberrywheel.process.capacity import build_problem
 from cranberrywheel.process.disruptions import Disruptions
@@ -59,7 +59,7 @@
 #: The plan and the learned usage are written at most this often.
 PUBLISH_INTERVAL_MS = 60_000
 
-_log = PartLogger("planner")
+_log = ComponentLogger("planner")
 
 
 def wall_clock_ms() -> int:
--- a/src/cranberrywheel/process/record_writer.py
+++ b/src/cranberrywheel/process/record_writer.py
@@ -8,7 +8,7 @@
     StoreError,
     StoreUnavailableError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.version.records import (
     PreparedWrite,
     StoredRecord,
@@ -25,7 +25,7 @@
 #: Times that a lost write is sent again in one attempt to resolve it.
 RESOLVE_ROUNDS = 3
 
-_log = PartLogger("store")
+_log = ComponentLogger("store")
 
 
 class Backoff:
--- a/src/cranberrywheel/process/relief.py
+++ b/src/cranberrywheel/process/relief.py
@@ -1,18 +1,18 @@
 """Relief for requests that wait too long: displaced work and peers' units."""
 
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.attempt import Attempt, AttemptState
 from cranberrywheel.process.attempts import Attempts
 from cranberrywheel.process.entry_state import EntryState
 from cranberrywheel.process.request_flow import RequestFlow
-from cranberrywheel.request.displacement import RunningTask, choose_displaced
+from cranberrywheel.request.preemption import RunningTask, select_tasks_to_preempt
 
 #: Urgent work must start within 1.5 s; a checkpoint takes part of the rest.
 URGENT_WAIT_MS = 500
 #: The next unit of this process is likely to come back sooner than this.
 UNIT_WAIT_MS = 200
 
-_log = PartLogger("relief")
+_log = ComponentLogger("relief")
 
 
 def _describe(attempt: Attempt) -> RunningTask:
@@ -22,7 +22,7 @@
         can_checkpoint=attempt.queue.can_checkpoint,
         can_throttle=False,
         expected_end_ms=round(attempt.created_ms + attempt.expected_ms),
-        displaced=attempt.displaced,
+        preempted=attempt.displaced,
     )
 
 
@@ -47,7 +47,7 @@
             for attempt in attempts.running()
             if attempt.worker.pool == pool and attempt.state is AttemptState.RUNNING
         ]
-        for task_id in choose_displaced(running, waiting, now_ms):
+        for task_id in select_tasks_to_preempt(running, waiting, now_ms):
             attempt = attempts.find(task_id)
             if attempt is not None:
                 attempt.displaced = True
--- a/src/cranberrywheel/process/request_flow.py
+++ b/src/cranberrywheel/process/request_flow.py
@@ -14,7 +14,7 @@
     UnknownOutcomeError,
     UnknownQueueError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process import messages as m
 from cranberrywheel.process.admission import (
     authorize_team,
@@ -26,9 +26,9 @@
 from cranberrywheel.process.ticket_calls import claimed_answer
 from cranberrywheel.request.model import Answer, Outcome, Request
 from cranberrywheel.request.problem import problem_answer
-from cranberrywheel.request.ticket import ClaimState, owner_of
+from cranberrywheel.request.ticket import ClaimState, parse_owner
 
-_log = PartLogger("request")
+_log = ComponentLogger("request")
 
 
 class RequestFlow:
@@ -93,7 +93,9 @@
         )
         request = build_request(incoming, found, team, self._state.settings, now_ms)
         pool = self._state.snapshot.configuration.pool_of_queue(found.name)
-        if self._state.estimates.never_fits(found.name, pool.cores, pool.memory_mb):
+        if self._state.estimates.should_reject_oversized(
+            found.name, pool.cores, pool.memory_mb
+        ):
             raise NeverFitsError(
                 f"Requests of queue {found.name!r} use more than a worker of pool "
                 f"{pool.name!r} has.",
@@ -112,7 +114,7 @@
         :returns: false if the request is new and this process may start it.
         """
         try:
-            owner = owner_of(request.ticket)
+            owner = parse_owner(request.ticket)
         except RequestError:
             raise TicketRequiredError(
                 "The Idempotency-Key is not a ticket of this system.",
@@ -139,7 +141,7 @@
         return True
 
     def _enqueue(self, request: Request, waiter: Waiter, now_ms: int) -> None:
-        self._state.retry_budget.note_request(now_ms)
+        self._state.retry_budget.record_request(now_ms)
         try:
             self._check_wait(request, now_ms)
             self.push(request)
@@ -172,7 +174,7 @@
         slots = (
             self._state.fleet.slots_of_pool(pool.name) // self._state.fleet.entry_count
         )
-        queued = self._state.queues_by_service[request.service].ahead_of(
+        queued = self._state.queues_by_service[request.service].estimate_requests_ahead(
             request.team,
             request.urgent,
             self._state.fleet.shares_by_team.get(request.team, 0.0),
--- a/src/cranberrywheel/process/store_reader.py
+++ b/src/cranberrywheel/process/store_reader.py
@@ -9,7 +9,7 @@
 from cranberrywheel.clock import Clock
 from cranberrywheel.connection.store_client import Record, StoreClient
 from cranberrywheel.errors import StoreError, StoreUnavailableError
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.exchange import PeerExchange
 from cranberrywheel.process.membership import (
     ENTRIES_PREFIX,
@@ -20,7 +20,7 @@
 from cranberrywheel.process.record_writer import Backoff
 from cranberrywheel.process.unit_keeper import LIMITS_PREFIX
 from cranberrywheel.settings import EntrySettings
-from cranberrywheel.version.adoption import CONFIGURATION_KEY
+from cranberrywheel.version.active_configuration import CONFIGURATION_KEY
 from cranberrywheel.version.records import parse_record
 
 POOLS_PREFIX = "pools/"
@@ -34,7 +34,7 @@
 #: that after one entry has read, its peers usually hear before they read too.
 READ_JITTER_FRACTION = 0.3
 
-_log = PartLogger("store")
+_log = ComponentLogger("store")
 
 
 class _PoolRowBody(pydantic.BaseModel):
--- a/src/cranberrywheel/process/store_session.py
+++ b/src/cranberrywheel/process/store_session.py
@@ -14,7 +14,7 @@
     StoreError,
     StoreUnavailableError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.configuration_writer import (
     STOPPING,
     ConfigurationWriter,
@@ -41,7 +41,7 @@
 #: Attempts at shutdown to return the units to a store that does not answer.
 STOP_ATTEMPTS = 3
 
-_log = PartLogger("store")
+_log = ComponentLogger("store")
 
 
 class Lease:
--- a/src/cranberrywheel/process/ticket_calls.py
+++ b/src/cranberrywheel/process/ticket_calls.py
@@ -14,7 +14,7 @@
 from cranberrywheel.process.entry_state import EntryState
 from cranberrywheel.request.model import Answer, Outcome
 from cranberrywheel.request.problem import problem_answer
-from cranberrywheel.request.ticket import Claim, ClaimState, owner_of
+from cranberrywheel.request.ticket import Claim, ClaimState, parse_owner
 
 #: Less than a caller of the query waits for its answer.
 QUERY_TIMEOUT_MS = 3_000
@@ -105,7 +105,7 @@
             message.answer.set_result(problem_answer("", error))
             return
         if claim.state is ClaimState.UNKNOWN and not message.forwarded:
-            peer = self._state.fleet.peer_address(owner_of(message.ticket))
+            peer = self._state.fleet.peer_address(parse_owner(message.ticket))
             if peer:
                 self._ask_owner(peer, message)
                 return
--- a/src/cranberrywheel/process/unit_keeper.py
+++ b/src/cranberrywheel/process/unit_keeper.py
@@ -7,7 +7,7 @@
 
 from cranberrywheel.connection.store_client import Record, StoreClient
 from cranberrywheel.errors import StoreConflictError, StoreError, StoreUnavailableError
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process import limit_record, limit_units
 from cranberrywheel.process.exchange import PeerExchange
 from cranberrywheel.process.limit_record import HolderRow, LimitRecord
@@ -23,7 +23,7 @@
     UnitsWanted,
 )
 from cranberrywheel.process.record_writer import RecordWriter
-from cranberrywheel.settings import LimitSettings
+from cranberrywheel.settings import QuotaSettings
 from cranberrywheel.version.records import StoredRecord, parse_record
 from cranberrywheel.version.snapshot import ConfigurationSnapshot
 
@@ -37,7 +37,7 @@
 #: The same at shutdown, which has no later attempt.
 RETURN_ATTEMPTS = 10
 
-_log = PartLogger("units")
+_log = ComponentLogger("units")
 
 
 @dataclasses.dataclass
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        settings: LimitSettings,
+        settings: QuotaSettings,
         registration: Registration,
         client: StoreClient,
         writer: RecordWriter,
--- a/src/cranberrywheel/process/zone_record.py
+++ b/src/cranberrywheel/process/zone_record.py
@@ -10,7 +10,7 @@
     StoreError,
     StoreUnavailableError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process import moves
 from cranberrywheel.process.fleet_model import (
     InstanceState,
@@ -25,7 +25,7 @@
 from cranberrywheel.version.configuration import Configuration
 from cranberrywheel.version.records import StoredRecord
 
-_log = PartLogger("planner")
+_log = ComponentLogger("planner")
 
 
 class ZoneRecord:
--- a/src/cranberrywheel/programs/node.py
+++ b/src/cranberrywheel/programs/node.py
@@ -6,7 +6,7 @@
 from absl import flags, logging
 
 from cranberrywheel.errors import SettingsError
-from cranberrywheel.logs import write_to_stdout
+from cranberrywheel.logs import log_to_stdout
 from cranberrywheel.node.node import METRICS_PORT, Node
 from cranberrywheel.platform.settings import load_settings
 from cranberrywheel.programs.exit_codes import OK, USAGE
@@ -19,7 +19,7 @@
     """Run the program; the platform's settings file says how."""
     flags.FLAGS(["cranberrywheel-node"])
     logging.set_verbosity(logging.INFO)
-    stop_logs = write_to_stdout()
+    stop_logs = log_to_stdout()
     try:
         port = int(os.environ.get(METRICS_PORT_VARIABLE, METRICS_PORT))
         Node(load_settings(), port).run()
--- a/src/cranberrywheel/request/estimates.py
+++ b/src/cranberrywheel/request/estimates.py
@@ -85,7 +85,7 @@
             return float("inf")
         return queued * self.run_ms(queue, declared_ms) / slots
 
-    def never_fits(self, queue: str, cores: float, memory_mb: int) -> bool:
+    def should_reject_oversized(self, queue: str, cores: float, memory_mb: int) -> bool:
         """Tell whether requests of a queue are too large for a worker.
 
         :param queue: queue name.
--- a/src/cranberrywheel/request/fair_queue.py
+++ b/src/cranberrywheel/request/fair_queue.py
@@ -140,7 +140,7 @@
                 return self.remove(next(iter(requests)))
         return None
 
-    def ahead_of(self, team: str, urgent: bool, share: float) -> float:
+    def estimate_requests_ahead(self, team: str, urgent: bool, share: float) -> float:
         """Estimate how many requests start before one that is pushed now.
 
         A team waits for its own requests at the rate that its share gives, not for
--- a/src/cranberrywheel/request/displacement.py
+++ b/src/cranberrywheel/request/preemption.py
@@ -25,10 +25,10 @@
     can_checkpoint: bool
     can_throttle: bool
     expected_end_ms: int
-    displaced: bool = False
+    preempted: bool = False
 
 
-def choose_displaced(
+def select_tasks_to_preempt(
     running: t.Iterable[RunningTask], urgent_waiting: int, now_ms: int
 ) -> list[str]:
     """Select non-urgent tasks to checkpoint or throttle.
@@ -46,7 +46,7 @@
     missing = urgent_waiting
     eligible = []
     for task in running:
-        if task.displaced or 0 <= task.expected_end_ms - now_ms <= ENDS_SOON_MS:
+        if task.preempted or 0 <= task.expected_end_ms - now_ms <= ENDS_SOON_MS:
             missing -= 1
         elif not task.urgent and (task.can_checkpoint or task.can_throttle):
             eligible.append(task)
--- a/src/cranberrywheel/request/retry.py
+++ b/src/cranberrywheel/request/retry.py
@@ -40,7 +40,7 @@
             self._balance = MIN_BALANCE + excess
         self._updated_ms = now_ms
 
-    def note_request(self, now_ms: int) -> None:
+    def record_request(self, now_ms: int) -> None:
         """Count a first attempt.
 
         :param now_ms: clock reading.
@@ -48,7 +48,7 @@
         self._decay(now_ms)
         self._balance += RETRIES_PER_REQUEST
 
-    def take(self, now_ms: int) -> bool:
+    def try_acquire(self, now_ms: int) -> bool:
         """Use one retry.
 
         :param now_ms: clock reading.
@@ -61,7 +61,7 @@
         return True
 
 
-def blames_request(failed_workers: t.Iterable[str]) -> bool:
+def request_caused_failures(failed_workers: t.Iterable[str]) -> bool:
     """Tell whether a request, not its workers, caused its failures.
 
     :param failed_workers: names of the workers on which it ran and failed.
@@ -93,6 +93,6 @@
         return None
     backoff_ms = min(MAX_DELAY_MS, BASE_DELAY_MS * 2 ** (attempts - 1))
     delay_ms = round(backoff_ms * rng.uniform(0.5, 1.5))
-    if now_ms + delay_ms >= request.deadline_ms or not budget.take(now_ms):
+    if now_ms + delay_ms >= request.deadline_ms or not budget.try_acquire(now_ms):
         return None
     return delay_ms
--- a/src/cranberrywheel/request/ticket.py
+++ b/src/cranberrywheel/request/ticket.py
@@ -111,7 +111,7 @@
     )
 
 
-def owner_of(ticket: str) -> str:
+def parse_owner(ticket: str) -> str:
     """Return the process that issued a ticket, without verifying it.
 
     :param ticket: the ticket.
@@ -121,7 +121,7 @@
     return _parse(ticket)[0].process_id
 
 
-class TicketBook:
+class TicketRegistry:
     """Tickets of one process and the results of their requests.
 
     Each issued ticket reserves its record until it expires, so a genuine ticket can
@@ -194,7 +194,7 @@
         self._records_by_ticket[ticket] = _Record(_Phase.CLAIMED)
         return Claim(ClaimState.NEW)
 
-    def started(self, ticket: str) -> None:
+    def mark_started(self, ticket: str) -> None:
         """Note that the request is being sent to a worker.
 
         :param ticket: a claimed ticket.
@@ -292,7 +292,7 @@
             results=tuple(results),
         )
 
-    def export_handed_over(self) -> list[tuple[str, TicketExport]]:
+    def export_imported_results(self) -> list[tuple[str, TicketExport]]:
         """Return what this process answers for others, to pass it on.
 
         :returns: pairs of process id and its export.
--- a/src/cranberrywheel/settings.py
+++ b/src/cranberrywheel/settings.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class LimitSettings:
+class QuotaSettings:
     """Hold times and fences of limit units; see docs/design.md, section 4.
 
     :param short_hold_ms: how long short units stay usable after the last
@@ -78,7 +78,7 @@
     peer_port: int
     operator_token_file: str
     platform: PlatformSettings
-    limits: LimitSettings = LimitSettings()
+    limits: QuotaSettings = QuotaSettings()
     http_threads: int = 256
     max_body_bytes: int = 1_000_000
     key_freshness_ms: int = 5_000
@@ -118,7 +118,7 @@
     statsd_port: int = 8125
 
 
-_SECTIONS: dict[str, type] = {"platform": PlatformSettings, "limits": LimitSettings}
+_SECTIONS: dict[str, type] = {"platform": PlatformSettings, "limits": QuotaSettings}
 _POSITIVE_SUFFIXES = ("_ms", "_port", "_bytes", "_threads")
 S = t.TypeVar("S")
 
--- a/src/cranberrywheel/submission/handover.py
+++ b/src/cranberrywheel/submission/handover.py
@@ -4,7 +4,7 @@
 import json
 import typing as t
 
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.submission.live import Run, RunState
 from cranberrywheel.submission.record import Progress
 from cranberrywheel.submission.state import SchedulerState
@@ -12,7 +12,7 @@
 #: Fence of an account that no leader may use.
 NO_FENCE = 0
 
-_log = PartLogger("leader")
+_log = ComponentLogger("leader")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/cranberrywheel/submission/reports.py
+++ b/src/cranberrywheel/submission/reports.py
@@ -1,6 +1,6 @@
 """What executors report: answers to looks and orders, and what follows from them."""
 
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.submission import actions as a
 from cranberrywheel.submission.executor import Executor, PendingEnd
 from cranberrywheel.submission.live import LiveSubmission, Run, RunState, Task
@@ -23,7 +23,7 @@
 #: Runs of one task side by side, where copies may run.
 MAX_COPIES = 2
 
-_log = PartLogger("scheduler")
+_log = ComponentLogger("scheduler")
 
 
 def take_look(
--- a/src/cranberrywheel/submission/starting.py
+++ b/src/cranberrywheel/submission/starting.py
@@ -8,7 +8,7 @@
 
 import typing as t
 
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.submission import actions as a
 from cranberrywheel.submission.executor import Executor
 from cranberrywheel.submission.live import LiveSubmission, Run, StepRun, Task
@@ -21,7 +21,7 @@
 #: predecessors', so that a number is never used twice.
 NUMBERS_PER_TERM = 1_000
 
-_log = PartLogger("scheduler")
+_log = ComponentLogger("scheduler")
 
 
 def start_waiting(state: SchedulerState, now_ms: int, unix_ms: int) -> None:
--- a/src/cranberrywheel/submission/state.py
+++ b/src/cranberrywheel/submission/state.py
@@ -3,7 +3,7 @@
 import dataclasses
 import typing as t
 
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.submission import actions as a
 from cranberrywheel.submission.bounds import Bounds
 from cranberrywheel.submission.durations import Durations
@@ -26,7 +26,7 @@
 #: of a lost executor soon start elsewhere.
 RUN_LEASE_MS = 3_200
 
-_log = PartLogger("scheduler")
+_log = ComponentLogger("scheduler")
 
 
 @dataclasses.dataclass
--- a/src/cranberrywheel/version/adoption.py
+++ b/src/cranberrywheel/version/active_configuration.py
@@ -7,7 +7,7 @@
 
 from cranberrywheel.connection.store_client import Record
 from cranberrywheel.errors import ConfigurationError, StoreError
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.version.configuration import parse_configuration
 from cranberrywheel.version.records import StoredRecord, parse_record
 from cranberrywheel.version.snapshot import ConfigurationSnapshot, KeyEntry
@@ -17,7 +17,7 @@
 #: mark that it is stored; a withdrawn key is also absent from ``keys``.
 MAX_WITHDRAWN_IDS = 1_000
 
-_log = PartLogger("configuration")
+_log = ComponentLogger("configuration")
 
 
 class _KeyBody(pydantic.BaseModel):
@@ -57,11 +57,11 @@
             for key_id, key in body.keys.items()
             if key_id not in body.withdrawn
         },
-        withdrawn_ids=frozenset(body.withdrawn),
+        revoked_key_ids=frozenset(body.withdrawn),
     )
 
 
-def dump_body(
+def build_configuration_body(
     text: str,
     text_version: int,
     keys_by_id: t.Mapping[str, KeyEntry],
@@ -83,7 +83,7 @@
     }
 
 
-class ConfigurationHolder:
+class ActiveConfiguration:
     """Holds the newest known version; usable from any thread.
 
     :param on_adopted: called with each adopted snapshot, in order of versions.
--- a/src/cranberrywheel/version/freshness.py
+++ b/src/cranberrywheel/version/freshness.py
@@ -7,7 +7,7 @@
     def __init__(self) -> None:
         self._taken_ms: int | None = None
 
-    def proven(self, taken_ms: int) -> bool:
+    def record_proof(self, taken_ms: int) -> bool:
         """Note a proof; older ones than the newest change nothing.
 
         :param taken_ms: own clock reading at which the keys were current.
--- a/src/cranberrywheel/version/keys.py
+++ b/src/cranberrywheel/version/keys.py
@@ -34,10 +34,10 @@
     return f"{key_id}.{secret}", KeyEntry(key_id, team, hash_secret(secret))
 
 
-def authorize(
+def authenticate(
     authorization: str,
     keys_by_id: collections.abc.Mapping[str, KeyEntry],
-    withdrawn_ids: collections.abc.Collection[str],
+    revoked_key_ids: collections.abc.Collection[str],
 ) -> KeyEntry:
     """Check the ``Authorization`` header of a request.
 
@@ -57,7 +57,7 @@
     entry = keys_by_id.get(key_id)
     expected = entry.secret_sha256 if entry else ""
     matches = hmac.compare_digest(hash_secret(secret), expected)
-    if entry is None or not matches or key_id in withdrawn_ids:
+    if entry is None or not matches or key_id in revoked_key_ids:
         raise UnauthorizedError(
             "The team key is not valid.", "Ask the operators for a granted key."
         )
--- a/src/cranberrywheel/version/snapshot.py
+++ b/src/cranberrywheel/version/snapshot.py
@@ -31,4 +31,4 @@
     text: str
     configuration: Configuration
     keys_by_id: dict[str, KeyEntry]
-    withdrawn_ids: frozenset[str]
+    revoked_key_ids: frozenset[str]
--- a/src/cranberrywheel_load/bench_schedulers.py
+++ b/src/cranberrywheel_load/bench_schedulers.py
@@ -10,11 +10,15 @@
     WorkerRow,
     WorkerTable,
 )
-from cranberrywheel.request.displacement import RunningTask, choose_displaced
 from cranberrywheel.request.estimates import RunTimeEstimates
 from cranberrywheel.request.fair_queue import FairQueue
 from cranberrywheel.request.model import Request
-from cranberrywheel.request.retry import RetryBudget, blames_request, plan_retry
+from cranberrywheel.request.preemption import RunningTask, select_tasks_to_preempt
+from cranberrywheel.request.retry import (
+    RetryBudget,
+    plan_retry,
+    request_caused_failures,
+)
 from cranberrywheel_load.bench_arrivals import CAPACITY, SLOTS, WORKERS
 
 POOL = "pool"
@@ -57,13 +61,15 @@
     def admit(self, request: Request, now_ms: int) -> bool:
         """Queue a request unless it is refused."""
         share = self._shares[request.team]
-        queued = self._queue.ahead_of(request.team, request.urgent, share)
+        queued = self._queue.estimate_requests_ahead(
+            request.team, request.urgent, share
+        )
         wait_ms = self._estimates.wait_ms(request.queue, DECLARED_MS, queued, CAPACITY)
         run_ms = self._estimates.run_ms(request.queue, DECLARED_MS)
         if now_ms + wait_ms + run_ms > request.deadline_ms:
             return False
         if request.request_id not in self._failed_workers:
-            self._budget.note_request(now_ms)
+            self._budget.record_request(now_ms)
         try:
             self._queue.push(request, request.deadline_ms - round(run_ms))
         except OverloadedError:
@@ -107,7 +113,7 @@
         if verdict is AttemptVerdict.FAILED:
             failed = self._failed_workers.setdefault(request.request_id, [])
             failed.append(worker)
-            if blames_request(failed):
+            if request_caused_failures(failed):
                 self._table.excuse(failed, now_ms)
         else:
             self._failed_workers.pop(request.request_id, None)
@@ -140,14 +146,16 @@
             if self._use[team] < LIMIT_FRACTION * CAPACITY:
                 below_limit += waiting
             else:
-                chosen += choose_displaced(running_by_team[team], waiting, now_ms)
+                chosen += select_tasks_to_preempt(
+                    running_by_team[team], waiting, now_ms
+                )
         others = [
             task
             for tasks in running_by_team.values()
             for task in tasks
             if task.request_id not in chosen
         ]
-        return chosen + choose_displaced(others, below_limit, now_ms)
+        return chosen + select_tasks_to_preempt(others, below_limit, now_ms)
 
 
 class Baseline:
--- a/src/cranberrywheel_load/decision_cost.py
+++ b/src/cranberrywheel_load/decision_cost.py
@@ -113,7 +113,7 @@
     def step(self, now_ms: int) -> None:
         """Admit, start and finish one request."""
         number = next(self.numbers)
-        self.budget.note_request(now_ms)
+        self.budget.record_request(now_ms)
         self.estimates.wait_ms("queue", 100, len(self.queue), SLOTS)
         self.queue.push(make_request(number, self.arriving_team(number), now_ms))
         self.table.has_room("pool", now_ms)
--- a/src/cranberrywheel_load/entries.py
+++ b/src/cranberrywheel_load/entries.py
@@ -19,7 +19,7 @@
     WithdrawKey,
 )
 from cranberrywheel.process.store_session import StoreSession
-from cranberrywheel.settings import EntrySettings, LimitSettings, PlatformSettings
+from cranberrywheel.settings import EntrySettings, PlatformSettings, QuotaSettings
 from cranberrywheel.version.freshness import FreshnessTracker
 from cranberrywheel_standin.direct_client import DirectStoreClient
 from cranberrywheel_standin.platform import Platform
@@ -85,7 +85,7 @@
             case ReleaseUnits(team, long_units, short_units, released):
                 released.set_result(self.ledger.release(team, long_units, short_units))
             case ProofTaken(taken_ms):
-                self.freshness.proven(taken_ms)
+                self.freshness.record_proof(taken_ms)
             case ConfigurationAdopted(snapshot):
                 self.versions.append(snapshot.version)
                 for name, team in snapshot.configuration.teams_by_name.items():
@@ -165,7 +165,7 @@
     :param limits: hold times.
     """
 
-    def __init__(self, zones: t.Sequence[str], limits: LimitSettings) -> None:
+    def __init__(self, zones: t.Sequence[str], limits: QuotaSettings) -> None:
         self.limits = limits
         self.clock = ManualClock(1_000_000)
         self.platform = Platform(lambda: self.clock.now_ms() / 1000)
--- a/src/cranberrywheel_load/policy_bench.py
+++ b/src/cranberrywheel_load/policy_bench.py
@@ -17,8 +17,8 @@
 
 from cranberrywheel.clock import ManualClock
 from cranberrywheel.process.worker_table import AttemptVerdict
-from cranberrywheel.request.displacement import RunningTask
 from cranberrywheel.request.model import Request
+from cranberrywheel.request.preemption import RunningTask
 from cranberrywheel_load.bench_arrivals import (
     CAPACITY,
     SLOTS,
@@ -280,7 +280,7 @@
             can_checkpoint=run.arrival.can_checkpoint,
             can_throttle=False,
             expected_end_ms=run.ends_ms,
-            displaced=run.stopping,
+            preempted=run.stopping,
         )
 
 
--- a/src/cranberrywheel_load/units.py
+++ b/src/cranberrywheel_load/units.py
@@ -15,7 +15,7 @@
 from cleo.helpers import argument
 from cleo.io.inputs.argv_input import ArgvInput
 
-from cranberrywheel.settings import LimitSettings
+from cranberrywheel.settings import QuotaSettings
 from cranberrywheel.version.configuration import Configuration, parse_configuration
 from cranberrywheel_load.entries import EntryGroup, SharingEntry
 
@@ -32,12 +32,12 @@
 HOUR_MS = 3_600_000
 LONG_STEP_MS = 5_000
 
-VARIANTS: dict[str, LimitSettings] = {
-    "long_fraction 0": LimitSettings(long_fraction=0),
-    "long_fraction 0.5": LimitSettings(long_fraction=0.5),
-    "long_fraction 1": LimitSettings(long_fraction=1),
-    "0.5, short hold 90 s": LimitSettings(short_hold_ms=90_000),
-    "single lease, 10 min": LimitSettings(long_fraction=0, short_hold_ms=600_000),
+VARIANTS: dict[str, QuotaSettings] = {
+    "long_fraction 0": QuotaSettings(long_fraction=0),
+    "long_fraction 0.5": QuotaSettings(long_fraction=0.5),
+    "long_fraction 1": QuotaSettings(long_fraction=1),
+    "0.5, short hold 90 s": QuotaSettings(short_hold_ms=90_000),
+    "single lease, 10 min": QuotaSettings(long_fraction=0, short_hold_ms=600_000),
 }
 
 UnitsByTeam = dict[str, float]
@@ -55,7 +55,7 @@
 class _Trial:
     """One group of entries that has settled on a configuration."""
 
-    def __init__(self, text: str, limits: LimitSettings) -> None:
+    def __init__(self, text: str, limits: QuotaSettings) -> None:
         self.configuration: Configuration = parse_configuration(text)
         zones = list(self.configuration.regions_by_zone)
         placed = [zones[number % len(zones)] for number in range(ENTRY_COUNT)]
@@ -87,7 +87,7 @@
 
 
 def measure_outage(
-    text: str, limits: LimitSettings, duration_ms: int
+    text: str, limits: QuotaSettings, duration_ms: int
 ) -> list[tuple[str, UnitsByTeam]]:
     """Take the store from all entries; measure at the end of the outage.
 
@@ -104,7 +104,7 @@
 
 
 def measure_partition(
-    text: str, limits: LimitSettings
+    text: str, limits: QuotaSettings
 ) -> list[tuple[str, UnitsByTeam]]:
     """Cut one zone off from the store and the others for ten minutes.
 
@@ -129,7 +129,7 @@
 
 
 def measure_replacements(
-    text: str, limits: LimitSettings, same_address: bool
+    text: str, limits: QuotaSettings, same_address: bool
 ) -> list[tuple[str, UnitsByTeam]]:
     """Kill and replace an entry every half hour for two hours.
 
@@ -156,7 +156,7 @@
 
 def measure(text: str) -> t.Iterator[Row]:
     """Measure all scenarios and variants for one operators' text."""
-    scenarios: dict[str, t.Callable[[LimitSettings], list[tuple[str, UnitsByTeam]]]] = {
+    scenarios: dict[str, t.Callable[[QuotaSettings], list[tuple[str, UnitsByTeam]]]] = {
         "store down 60 s": lambda limits: measure_outage(text, limits, 60_000),
         "store down 1 h": lambda limits: measure_outage(text, limits, HOUR_MS),
         "zone cut off 10 min": lambda limits: measure_partition(text, limits),
--- a/src/cranberrywheel_spec/freshness_conformance.py
+++ b/src/cranberrywheel_spec/freshness_conformance.py
@@ -9,7 +9,10 @@
 from cranberrywheel.process.exchange import PeerExchange
 from cranberrywheel.process.messages import ProofTaken
 from cranberrywheel.settings import EntrySettings, PlatformSettings
-from cranberrywheel.version.adoption import CONFIGURATION_KEY, dump_body
+from cranberrywheel.version.active_configuration import (
+    CONFIGURATION_KEY,
+    build_configuration_body,
+)
 from cranberrywheel.version.freshness import FreshnessTracker
 from cranberrywheel.version.records import parse_record, prepare_write
 from cranberrywheel.version.snapshot import KeyEntry
@@ -48,10 +51,10 @@
     """Return the configuration before and after the withdrawal."""
     granted = {_KEY: KeyEntry(_KEY, "t", "0" * 64)}
     first = prepare_write(
-        CONFIGURATION_KEY, None, "w", dump_body(_TEXT, 1, granted, [])
+        CONFIGURATION_KEY, None, "w", build_configuration_body(_TEXT, 1, granted, [])
     )
     before = Record(CONFIGURATION_KEY, first.value, 1)
-    body = dump_body(_TEXT, 1, {}, [_KEY])
+    body = build_configuration_body(_TEXT, 1, {}, [_KEY])
     second = prepare_write(CONFIGURATION_KEY, parse_record(before), "w", body)
     return before, Record(CONFIGURATION_KEY, second.value, 2)
 
@@ -79,7 +82,7 @@
 
     def _take(self, message: object) -> None:
         if isinstance(message, ProofTaken):
-            self.tracker.proven(message.taken_ms)
+            self.tracker.record_proof(message.taken_ms)
             self.proof_ms = message.taken_ms - self.start_ms
 
     def knows(self) -> bool:
--- a/src/cranberrywheel_spec/hold_conformance.py
+++ b/src/cranberrywheel_spec/hold_conformance.py
@@ -8,7 +8,7 @@
 from cranberrywheel.process.limit_record import HolderRow, LimitRecord
 from cranberrywheel.process.limit_units import Absence, UnitLedger
 from cranberrywheel.process.membership import MissingHolders, Registration
-from cranberrywheel.settings import LimitSettings
+from cranberrywheel.settings import QuotaSettings
 from cranberrywheel_spec.conformance import ConformanceMachine
 from cranberrywheel_spec.unit_times import (
     CLOCKS,
@@ -23,7 +23,7 @@
 
 _HOLDER, _TEAM, _REQUEST = "z1.e1.0", "t", "r"
 _MODELS = {hold.name: CompiledModel(unit_times(hold)) for hold in (SHORT, LONG)}
-_SETTINGS = LimitSettings()
+_SETTINGS = QuotaSettings()
 #: Where a step ends: after a short time, or at a bound of the protocol (a clock, the
 #: time from which it counts and how long), or up to a millisecond off it.
 _SHORT_MS = (0, 0, 1, 500, 5_000, 30_000)
--- a/src/cranberrywheel_spec/ticket_conformance.py
+++ b/src/cranberrywheel_spec/ticket_conformance.py
@@ -1,9 +1,9 @@
-"""Compares ``TicketBook`` with the ticket model, step by step."""
+"""Compares ``TicketRegistry`` with the ticket model, step by step."""
 
 import typing as t
 
 from cranberrywheel.request.model import Answer, Outcome
-from cranberrywheel.request.ticket import Claim, ClaimState, TicketBook
+from cranberrywheel.request.ticket import Claim, ClaimState, TicketRegistry
 from cranberrywheel.settings import EntrySettings, PlatformSettings
 from cranberrywheel_spec.conformance import ConformanceMachine
 from cranberrywheel_spec.tickets import (
@@ -39,7 +39,7 @@
 class TicketMachine(ConformanceMachine):
     """One ticket: each call of the book must answer as the model allows."""
 
-    make_book: t.ClassVar[type[TicketBook]] = TicketBook
+    make_book: t.ClassVar[type[TicketRegistry]] = TicketRegistry
     #: Whether to hand over after the retention of the ticket has passed.
     late_hand_over: t.ClassVar[bool] = False
 
@@ -105,7 +105,7 @@
         assert (claim.state is ClaimState.FINISHED) == finished, claim
 
     def send_start(self) -> None:
-        self.owner.started(self.ticket)
+        self.owner.mark_started(self.ticket)
         self.walk.take("owner sends the start")
 
     def worker_starts(self) -> None:
--- a/src/cranberrywheel_spec/transfer_conformance.py
+++ b/src/cranberrywheel_spec/transfer_conformance.py
@@ -6,7 +6,7 @@
 from cranberrywheel.process import limit_record, limit_units
 from cranberrywheel.process.limit_record import HolderRow, LimitRecord
 from cranberrywheel.process.limit_units import Need, UnitLedger
-from cranberrywheel.settings import LimitSettings
+from cranberrywheel.settings import QuotaSettings
 from cranberrywheel.version.records import (
     PreparedWrite,
     StoredRecord,
@@ -68,7 +68,7 @@
         record = LimitRecord(limit=self.limit, limit_version=1, holders=rows)
         first = prepare_write(KEY, None, "a", limit_record.dump(record))
         self.stored = parse_record(Record(KEY, first.value, 1))
-        make = lambda: self.make_ledger(LimitSettings())
+        make = lambda: self.make_ledger(QuotaSettings())
         self.holders_by_name = {n: _Holder(self.stored, n, make()) for n in HOLDERS}
         counts = {"a": a, "b": b}
         start: dict[str, int] = {"limit": self.limit}
--- a/tests/dispatcher_fakes.py
+++ b/tests/dispatcher_fakes.py
@@ -6,8 +6,8 @@
 from cranberrywheel.clock import ManualClock
 from cranberrywheel.connection.store_client import Instance, InstanceList
 from cranberrywheel.connection.target_messages import (
-    AttemptEnd,
     AttemptFinished,
+    AttemptOutcome,
     FetchToken,
     StartAttempt,
     TokenFetched,
@@ -165,21 +165,21 @@
     def give_tokens(self):
         for fetch in self.take(FetchToken):
             now_ms = self.clock.now_ms()
-            self.post(TokenFetched(worker=fetch.worker, token="t", asked_ms=now_ms))
+            self.post(TokenFetched(worker=fetch.worker, token="t", requested_ms=now_ms))
 
     def starts(self):
         return self.take(StartAttempt)
 
-    def end(self, start, end=AttemptEnd.RAN, kind="", body=b"done"):
+    def end(self, start, end=AttemptOutcome.RAN, kind="", body=b"done"):
         self.post(
             AttemptFinished(
                 task_id=start.task_id,
                 worker=start.worker,
-                end=end,
+                outcome=end,
                 kind=kind,
                 body=body,
                 next_token="t",
-                asked_ms=self.clock.now_ms(),
+                requested_ms=self.clock.now_ms(),
             )
         )
         self.give_tokens()
--- a/tests/small_deployment.py
+++ b/tests/small_deployment.py
@@ -2,7 +2,7 @@
 
 from test_configuration import SMALL
 
-from cranberrywheel.settings import LimitSettings
+from cranberrywheel.settings import QuotaSettings
 from cranberrywheel_load.entries import EntryGroup
 
 TEXT = SMALL.replace("limit = 4", "limit = 12")
@@ -11,4 +11,4 @@
 def group_of(count, limits=None):
     """Build entries in alternating zones."""
     zones = [f"z{number % 2 + 1}" for number in range(count)]
-    return EntryGroup(zones, limits or LimitSettings(short_hold_ms=90_000))
+    return EntryGroup(zones, limits or QuotaSettings(short_hold_ms=90_000))
--- a/tests/test_adoption.py
+++ b/tests/test_active_configuration.py
@@ -3,15 +3,18 @@
 
 from cranberrywheel.connection.store_client import Record
 from cranberrywheel.errors import StoreError, UnauthorizedError
-from cranberrywheel.version.adoption import ConfigurationHolder, dump_body
+from cranberrywheel.version.active_configuration import (
+    ActiveConfiguration,
+    build_configuration_body,
+)
 from cranberrywheel.version.configuration import parse_configuration
 from cranberrywheel.version.differences import list_differences
-from cranberrywheel.version.keys import authorize, create_key
+from cranberrywheel.version.keys import authenticate, create_key
 from cranberrywheel.version.records import prepare_write
 
 
 def record(revision, text=TEXT, keys=(), withdrawn=()):
-    body = dump_body(text, 1, {k.key_id: k for k in keys}, withdrawn)
+    body = build_configuration_body(text, 1, {k.key_id: k for k in keys}, withdrawn)
     value = prepare_write("configuration", None, "e1", body).value
     return Record("configuration", value, revision)
 
@@ -20,7 +23,7 @@
     def setUp(self):
         super().setUp()
         self.versions = []
-        self.holder = ConfigurationHolder(lambda s: self.versions.append(s.version))
+        self.holder = ActiveConfiguration(lambda s: self.versions.append(s.version))
 
     def test_versions_never_go_back(self):
         """A record that a peer sent late must not undo a newer version."""
@@ -47,7 +50,7 @@
         self.assertEqual({other_entry.key_id}, set(snapshot.keys_by_id))
 
         def check(header, withdrawn=()):
-            return authorize(header, snapshot.keys_by_id, withdrawn)
+            return authenticate(header, snapshot.keys_by_id, withdrawn)
 
         self.assertEqual("t", check(f"Bearer {other}").team)
         marked = {other_entry.key_id}
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -5,7 +5,7 @@
 
 from cranberrywheel.connection.store_client import InstanceList
 from cranberrywheel.connection.target_messages import (
-    AttemptEnd,
+    AttemptOutcome,
     ControlFinished,
     ControlTask,
     FetchUsage,
@@ -71,7 +71,7 @@
                 worker=stop.worker,
                 action="stop",
                 confirmed=True,
-                gone=False,
+                task_unknown=False,
             )
         )
         self.bench.give_tokens()
@@ -108,7 +108,7 @@
     def test_refused_start_is_retried_on_another_worker(self):
         future = self.bench.submit("a")
         (start,) = self.bench.starts()
-        self.bench.end(start, AttemptEnd.REFUSED, "busy")
+        self.bench.end(start, AttemptOutcome.REFUSED, "busy")
         self.bench.advance(2_000)
         self.bench.give_tokens()
         (again,) = self.bench.starts()
@@ -120,7 +120,7 @@
         ticket = self.bench.ticket()
         future = self.bench.submit("a", "payments", ticket)
         (start,) = self.bench.starts()
-        self.bench.end(start, AttemptEnd.BROKEN)
+        self.bench.end(start, AttemptOutcome.NO_USABLE_ANSWER)
         (query,) = self.bench.take(QueryTask)
         self.assertFalse(future.done())
         self.bench.post(
@@ -159,7 +159,7 @@
         ticket = self.bench.ticket()
         future = self.bench.submit("a", "payments", ticket)
         (start,) = self.bench.starts()
-        self.bench.end(start, AttemptEnd.BROKEN)
+        self.bench.end(start, AttemptOutcome.NO_USABLE_ANSWER)
         self.bench.advance(30_000)
         self.assert_refused(future, "unknown-outcome", Outcome.UNKNOWN)
         again = self.bench.submit("b", "payments", ticket)
@@ -232,7 +232,7 @@
     def test_deadline_after_a_broken_attempt_is_unknown_and_not_not_run(self):
         future = self.bench.submit("a")
         (start,) = self.bench.starts()
-        self.bench.end(start, AttemptEnd.BROKEN)
+        self.bench.end(start, AttemptOutcome.NO_USABLE_ANSWER)
         self.bench.post(m.InstancesListed(InstanceList(2, 0, ())))
         self.bench.advance(10_100)
         self.assert_refused(future, "unknown-outcome", Outcome.UNKNOWN)
@@ -241,7 +241,7 @@
         ticket = self.bench.ticket()
         future = self.bench.submit("a", "payments", ticket)
         (start,) = self.bench.starts()
-        self.bench.end(start, AttemptEnd.STOPPED, "checkpointed")
+        self.bench.end(start, AttemptOutcome.STOPPED, "checkpointed")
         (again,) = self.bench.starts()
         self.assertEqual(start.task_id, again.checkpoint)
         self.bench.end(again, body=b"counted")
@@ -275,7 +275,7 @@
         ticket = self.bench.ticket()
         future = self.bench.submit("a", "payments", ticket)
         (start,) = self.bench.starts()
-        self.bench.end(start, AttemptEnd.REFUSED, "busy")
+        self.bench.end(start, AttemptOutcome.REFUSED, "busy")
         self.bench.post(m.CancelRequest("a"))
         self.assert_refused(future, "cancelled")
         self.assertEqual(0, len(self.bench.state.pending))
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -28,18 +28,20 @@
         self.assertEqual(float("inf"), estimates.wait_ms("q", 100, 1, 0))
 
     def test_jobs_that_can_never_run_are_refused(self):
-        self.assertFalse(RunTimeEstimates().never_fits("q", 1, 1))
-        self.assertTrue(self.learned(8).never_fits("q", 1.0, 1_000))
-        self.assertTrue(self.learned(8).never_fits("q", 4.0, 99))
-        self.assertFalse(self.learned(8).never_fits("q", 2.0, 100))
+        self.assertFalse(RunTimeEstimates().should_reject_oversized("q", 1, 1))
+        self.assertTrue(self.learned(8).should_reject_oversized("q", 1.0, 1_000))
+        self.assertTrue(self.learned(8).should_reject_oversized("q", 4.0, 99))
+        self.assertFalse(self.learned(8).should_reject_oversized("q", 2.0, 100))
 
     def test_one_oversized_request_does_not_block_its_queue(self):
         estimates = self.learned(8, cores=1.0)
         estimates.record("q", 100, 50.0, 100)
-        self.assertFalse(estimates.never_fits("q", 2.0, 1_000))
+        self.assertFalse(estimates.should_reject_oversized("q", 2.0, 1_000))
 
     def test_refused_queue_is_measured_again(self):
         # Guards against a refusal that lasts for ever, because it stops the records.
         estimates = self.learned(8)
-        refused = [estimates.never_fits("q", 1.0, 1_000) for _ in range(100)]
+        refused = [
+            estimates.should_reject_oversized("q", 1.0, 1_000) for _ in range(100)
+        ]
         self.assertEqual(100 // RECHECK_INTERVAL, refused.count(False))
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -150,7 +150,7 @@
         self.assertEqual({e.process_id for e in (a, b, c)}, set(result["confirmed"]))
         group.set_down(False)
         group.run(6_000)
-        self.assertIn(key_id, c.exchange.holder.snapshot.withdrawn_ids)
+        self.assertIn(key_id, c.exchange.holder.snapshot.revoked_key_ids)
         self.assertEqual(set(), b.exchange.unwritten_marks())
 
     def test_older_proof_does_not_hide_a_newer_version(self):
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -113,14 +113,14 @@
     def test_predicted_position_follows_the_share(self):
         # Guards against refusing a team because of another team's long queue.
         queue = self.queue(*(request(f"a{n}") for n in range(50)), request("b", "b"))
-        self.assertEqual(0, queue.ahead_of("c", False, 0.1))
-        self.assertEqual(10, queue.ahead_of("b", False, 0.1))
-        self.assertEqual(51, queue.ahead_of("a", False, 0.1))
+        self.assertEqual(0, queue.estimate_requests_ahead("c", False, 0.1))
+        self.assertEqual(10, queue.estimate_requests_ahead("b", False, 0.1))
+        self.assertEqual(51, queue.estimate_requests_ahead("a", False, 0.1))
         queue.push(request("u", "a", urgent=True))
-        self.assertEqual(0, queue.ahead_of("b", True, 0.1))
-        self.assertEqual(1, queue.ahead_of("c", False, 0.1))
+        self.assertEqual(0, queue.estimate_requests_ahead("b", True, 0.1))
+        self.assertEqual(1, queue.estimate_requests_ahead("c", False, 0.1))
         queue.remove("u")
-        self.assertEqual(0, queue.ahead_of("c", False, 0.0))
+        self.assertEqual(0, queue.estimate_requests_ahead("c", False, 0.0))
 
     def test_no_team_starves_when_another_bursts_to_five_times_its_mean(self):
         # Team "a" offers ten times what the others do; all have the same share.
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from cranberrywheel.connection.http_server import HangupWatcher, HttpServer
+from cranberrywheel.connection.http_server import DisconnectWatcher, HttpServer
 
 WAIT_S = 20
 
@@ -108,7 +108,7 @@
 
 class HangupWatcherTest(testtools.TestCase):
     def test_closed_connection_is_reported_once_and_unwatched_ones_never(self):
-        watcher = HangupWatcher()
+        watcher = DisconnectWatcher()
         left, seen = threading.Event(), threading.Event()
         pairs = [socket.socketpair() for _ in range(2)]
         for pair, event in zip(pairs, (left, seen), strict=True):
--- a/tests/test_limit_units.py
+++ b/tests/test_limit_units.py
@@ -6,9 +6,9 @@
 from cranberrywheel.process import limit_record, limit_units
 from cranberrywheel.process.limit_record import HolderRow, LimitRecord
 from cranberrywheel.process.limit_units import Absence, Need, UnitLedger
-from cranberrywheel.settings import LimitSettings
+from cranberrywheel.settings import QuotaSettings
 
-SETTINGS = LimitSettings(short_hold_ms=90_000)
+SETTINGS = QuotaSettings(short_hold_ms=90_000)
 HOLDERS = "abcd"
 COUNTS = st.integers(0, 12)
 
--- a/tests/test_displacement.py
+++ b/tests/test_preemption.py
@@ -1,6 +1,6 @@
 import testtools
 
-from cranberrywheel.request.displacement import RunningTask, choose_displaced
+from cranberrywheel.request.preemption import RunningTask, select_tasks_to_preempt
 
 
 def task(request_id, end_ms=5_000, urgent=False, can_checkpoint=True, **changes):
@@ -16,19 +16,19 @@
 class DisplacementTest(testtools.TestCase):
     def test_only_as_many_as_urgent_requests_wait(self):
         running = [task("a", 1_000), task("b", 9_000), task("c", 5_000)]
-        self.assertEqual(["b", "c"], choose_displaced(running, 2, 0))
-        self.assertEqual([], choose_displaced(running, 0, 0))
+        self.assertEqual(["b", "c"], select_tasks_to_preempt(running, 2, 0))
+        self.assertEqual([], select_tasks_to_preempt(running, 0, 0))
 
     def test_urgent_and_unstoppable_tasks_are_spared(self):
         running = [task("a", urgent=True), task("b", can_checkpoint=False)]
-        self.assertEqual([], choose_displaced(running, 2, 0))
+        self.assertEqual([], select_tasks_to_preempt(running, 2, 0))
         throttled = task("c", can_checkpoint=False, can_throttle=True)
-        self.assertEqual(["c"], choose_displaced([*running, throttled], 2, 0))
+        self.assertEqual(["c"], select_tasks_to_preempt([*running, throttled], 2, 0))
 
     def test_room_to_come_is_not_made_twice(self):
         # Guards against displacing one task more on every tick of the dispatcher.
-        for first in (task("a", displaced=True), task("a", 200)):
-            self.assertEqual([], choose_displaced([first, task("b")], 1, 0))
+        for first in (task("a", preempted=True), task("a", 200)):
+            self.assertEqual([], select_tasks_to_preempt([first, task("b")], 1, 0))
 
     def test_overdue_task_is_not_taken_for_room_to_come(self):
-        self.assertEqual(["b"], choose_displaced([task("b", 100)], 1, 5_000))
+        self.assertEqual(["b"], select_tasks_to_preempt([task("b", 100)], 1, 5_000))
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -3,7 +3,11 @@
 import testtools
 from decision_data import SEED, request
 
-from cranberrywheel.request.retry import RetryBudget, blames_request, plan_retry
+from cranberrywheel.request.retry import (
+    RetryBudget,
+    plan_retry,
+    request_caused_failures,
+)
 
 
 class RetryTest(testtools.TestCase):
@@ -37,7 +41,7 @@
         # Without a budget each of the 1,000 failing requests is sent three times.
         budget, sent = RetryBudget(), 0
         for now_ms in range(0, 10_000, 10):
-            budget.note_request(now_ms)
+            budget.record_request(now_ms)
             item = request(arrived_ms=now_ms)
             attempts = 1
             while self.plan(item, attempts, now_ms=now_ms, budget=budget) is not None:
@@ -48,11 +52,11 @@
     def test_retries_saved_in_a_healthy_period_do_not_double_the_load(self):
         budget = RetryBudget()
         for now_ms in range(600_000):
-            budget.note_request(now_ms)
-        taken = sum(budget.take(600_000) for _ in range(100_000))
+            budget.record_request(now_ms)
+        taken = sum(budget.try_acquire(600_000) for _ in range(100_000))
         # A tenth of the requests in 10 s / ln 2, the mean age of the balance.
         self.assertTrue(1_300 < taken < 1_500, taken)
 
     def test_request_that_failed_on_three_workers_is_blamed(self):
-        self.assertFalse(blames_request(["w1", "w2", "w1", "w2"]))
-        self.assertTrue(blames_request(["w1", "w2", "w3"]))
+        self.assertFalse(request_caused_failures(["w1", "w2", "w1", "w2"]))
+        self.assertTrue(request_caused_failures(["w1", "w2", "w3"]))
--- a/tests/test_sharing_network.py
+++ b/tests/test_sharing_network.py
@@ -61,7 +61,7 @@
         # A peer confirms with its mark or with the stored version, whichever it has;
         # a mark goes only when the version is there, so marks are read first.
         refused = b.exchange.unwritten_marks()
-        refused |= b.exchange.holder.snapshot.withdrawn_ids
+        refused |= b.exchange.holder.snapshot.revoked_key_ids
         self.assertIn(key_id, refused)
 
     def test_store_client_reports_what_the_platform_answers(self):
--- a/tests/test_store_session.py
+++ b/tests/test_store_session.py
@@ -14,7 +14,7 @@
     PoolRow,
     PoolsChanged,
 )
-from cranberrywheel.version.adoption import CONFIGURATION_KEY
+from cranberrywheel.version.active_configuration import CONFIGURATION_KEY
 from cranberrywheel.version.records import prepare_write
 
 
--- a/tests/test_target_client.py
+++ b/tests/test_target_client.py
@@ -7,8 +7,8 @@
 from cranberrywheel.clock import Clock
 from cranberrywheel.connection.target_client import TargetClient
 from cranberrywheel.connection.target_messages import (
-    AttemptEnd,
     AttemptFinished,
+    AttemptOutcome,
     ControlFinished,
     ControlTask,
     FetchToken,
@@ -96,45 +96,54 @@
     def test_whole_answer_is_passed_on(self):
         _, address = self.start_worker()
         result = self.run_task(address, "a")
-        self.assertEqual(AttemptEnd.RAN, result.end)
+        self.assertEqual(AttemptOutcome.RAN, result.outcome)
         self.assertIn(b'"task": "a"', result.body)
         self.assertNotEqual("", result.next_token)
 
     def test_truncated_answer_never_counts_as_whole(self):
         _, address = self.start_worker(truncate=1)
-        self.assertEqual(AttemptEnd.BROKEN, self.run_task(address, "a").end)
+        self.assertEqual(
+            AttemptOutcome.NO_USABLE_ANSWER, self.run_task(address, "a").outcome
+        )
 
     def test_answer_of_another_task_is_dropped(self):
         server = ScriptedServer([[BAD_ANSWER]])
         result = self.ask(start_message(server.address, "a"))
-        self.assertEqual(AttemptEnd.BROKEN, result.end)
+        self.assertEqual(AttemptOutcome.NO_USABLE_ANSWER, result.outcome)
 
     def test_answer_over_the_limit_is_dropped(self):
         answer = b"HTTP/1.1 200 OK\r\nTask-Id: a\r\nContent-Length: 2000\r\n\r\n"
         server = ScriptedServer([[answer + b"x" * 2000]])
         result = self.ask(start_message(server.address, "a"))
-        self.assertEqual(AttemptEnd.BROKEN, result.end)
+        self.assertEqual(AttemptOutcome.NO_USABLE_ANSWER, result.outcome)
 
     def test_stale_token_is_a_certain_refusal(self):
         _, address = self.start_worker()
         result = self.ask(start_message(address, "a", token="old"))
-        self.assertEqual((AttemptEnd.REFUSED, "stale-token"), (result.end, result.kind))
+        self.assertEqual(
+            (AttemptOutcome.REFUSED, "stale-token"), (result.outcome, result.kind)
+        )
 
     def test_duplicate_refusal_does_not_claim_that_nothing_ran(self):
         _, address = self.start_worker()
         self.run_task(address, "a")
         result = self.run_task(address, "a")
-        self.assertEqual((AttemptEnd.BROKEN, "duplicate"), (result.end, result.kind))
+        self.assertEqual(
+            (AttemptOutcome.NO_USABLE_ANSWER, "duplicate"),
+            (result.outcome, result.kind),
+        )
 
     def test_refused_connection_counts_as_not_sent(self):
         with socket.create_server(("127.0.0.1", 0)) as listener:
             address = "{}:{}".format(*listener.getsockname())
         result = self.ask(start_message(address, "a"))
-        self.assertEqual(AttemptEnd.NOT_SENT, result.end)
+        self.assertEqual(AttemptOutcome.NOT_SENT, result.outcome)
 
     def test_lost_answer_is_broken_and_can_be_queried(self):
         _, address = self.start_worker(lose_answers=1)
-        self.assertEqual(AttemptEnd.BROKEN, self.run_task(address, "a").end)
+        self.assertEqual(
+            AttemptOutcome.NO_USABLE_ANSWER, self.run_task(address, "a").outcome
+        )
         found = self.ask(QueryTask(task_id="a", worker="w1", address=address))
         self.assertEqual("finished", found.state)
         self.assertIn(b'"task": "a"', found.body)
@@ -143,9 +152,9 @@
         whole = BAD_ANSWER.replace(b"other", b"a")
         server = ScriptedServer([[whole, b""], [b""], [b""]])
         first = self.ask(start_message(server.address, "a"))
-        self.assertEqual(AttemptEnd.RAN, first.end)
+        self.assertEqual(AttemptOutcome.RAN, first.outcome)
         second = self.ask(start_message(server.address, "b", idempotent=False))
-        self.assertEqual(AttemptEnd.BROKEN, second.end)
+        self.assertEqual(AttemptOutcome.NO_USABLE_ANSWER, second.outcome)
         sent = []
         while not server.requests.empty():
             sent.append(server.requests.get())
@@ -162,4 +171,4 @@
             ends[type(result)] = result
         if AttemptFinished not in ends:
             ends[AttemptFinished] = self.results.get(timeout=WAIT_S)
-        self.assertEqual(AttemptEnd.STOPPED, ends[AttemptFinished].end)
+        self.assertEqual(AttemptOutcome.STOPPED, ends[AttemptFinished].outcome)
--- a/tests/test_ticket.py
+++ b/tests/test_ticket.py
@@ -9,7 +9,7 @@
     OverloadedError,
 )
 from cranberrywheel.request.model import Answer, Outcome
-from cranberrywheel.request.ticket import ClaimState, TicketBook, owner_of
+from cranberrywheel.request.ticket import ClaimState, TicketRegistry, parse_owner
 from cranberrywheel.settings import EntrySettings, PlatformSettings
 
 LIFETIME_MS = 1_000
@@ -30,7 +30,7 @@
         ticket_retention_ms=RETENTION_MS,
         max_tickets=max_tickets,
     )
-    return TicketBook(process_id, settings, process_id.encode())
+    return TicketRegistry(process_id, settings, process_id.encode())
 
 
 class TicketBookTest(testtools.TestCase):
@@ -45,12 +45,12 @@
 
     def run_request(self, now_ms=0):
         self.assertEqual(ClaimState.NEW, self.claim(now_ms).state)
-        self.book.started(self.ticket)
+        self.book.mark_started(self.ticket)
         self.book.finish(self.ticket, ANSWER, now_ms)
 
     def test_at_most_one_start_per_ticket(self):
         states = [self.claim(now_ms).state for now_ms in range(5)]
-        self.book.started(self.ticket)
+        self.book.mark_started(self.ticket)
         states.append(self.claim(5).state)
         self.assertEqual([ClaimState.NEW] + [ClaimState.RUNNING] * 5, states)
         self.book.finish(self.ticket, ANSWER, 6)
@@ -68,7 +68,7 @@
 
     def test_released_ticket_can_be_claimed_again_until_it_expires(self):
         self.claim()
-        self.book.started(self.ticket)
+        self.book.mark_started(self.ticket)
         self.book.release(self.ticket, 1)
         self.assertEqual(ClaimState.NEW, self.claim(2).state)
         self.book.release(self.ticket, LIFETIME_MS)
@@ -96,7 +96,7 @@
     def test_running_request_outlives_the_retention(self):
         # Guards against a record that is dropped while the worker still runs it.
         self.claim()
-        self.book.started(self.ticket)
+        self.book.mark_started(self.ticket)
         for now_ms in range(0, 10 * LIFETIME_MS, 100):
             self.book.expire(now_ms)
         self.assertEqual(ClaimState.RUNNING, self.claim(now_ms).state)
@@ -139,8 +139,8 @@
         self.assertEqual(ClaimState.NEW, self.claim().state)
 
     def test_ticket_of_another_process_is_unknown(self):
-        self.assertEqual("z1.e1.x", owner_of(self.ticket))
-        self.assertRaises(MalformedRequestError, owner_of, "not a ticket")
+        self.assertEqual("z1.e1.x", parse_owner(self.ticket))
+        self.assertRaises(MalformedRequestError, parse_owner, "not a ticket")
         other = book("z1.e2.y")
         claim = other.claim(self.ticket, "team", "queue", 0)
         self.assertEqual(ClaimState.UNKNOWN, claim.state)
--- a/tests/test_ticket_conformance.py
+++ b/tests/test_ticket_conformance.py
@@ -3,12 +3,12 @@
 import testtools
 from hypothesis.stateful import run_state_machine_as_test
 
-from cranberrywheel.request.ticket import ClaimState, TicketBook
+from cranberrywheel.request.ticket import ClaimState, TicketRegistry
 from cranberrywheel_spec.compare import run_settings
 from cranberrywheel_spec.ticket_conformance import TicketMachine
 
 
-class NoVoidBook(TicketBook):
+class NoVoidBook(TicketRegistry):
     def query(self, ticket, now_ms):
         claim = super().query(ticket, now_ms)
         if claim.state is ClaimState.NOT_RUN:
@@ -16,19 +16,19 @@
         return claim
 
 
-class EarlyDropBook(TicketBook):
+class EarlyDropBook(TicketRegistry):
     def expire(self, now_ms):
         super().expire(now_ms + self._settings.ticket_retention_ms)
 
 
-class UnlistedBook(TicketBook):
+class UnlistedBook(TicketRegistry):
     def export_results(self, now_ms):
         export = super().export_results(now_ms)
         listed = tuple((t, a) for t, a in export.results if a.outcome != "unknown")
         return dataclasses.replace(export, results=listed)
 
 
-class TwiceBook(TicketBook):
+class TwiceBook(TicketRegistry):
     def claim(self, ticket, team, queue, now_ms):
         claim = super().claim(ticket, team, queue, now_ms)
         if claim.state is ClaimState.RUNNING:
@@ -38,7 +38,7 @@
 
 
 class TicketConformanceTest(testtools.TestCase):
-    """Guards against a TicketBook that differs from the checked model."""
+    """Guards against a TicketRegistry that differs from the checked model."""
 
     def test_changed_books_are_found(self):
         for changed in (NoVoidBook, EarlyDropBook, UnlistedBook, TwiceBook):
--- a/tests/test_unit_keeper.py
+++ b/tests/test_unit_keeper.py
@@ -5,7 +5,7 @@
 
 from cranberrywheel.errors import StoreError
 from cranberrywheel.process.messages import Stop
-from cranberrywheel.settings import LimitSettings
+from cranberrywheel.settings import QuotaSettings
 from cranberrywheel.version.records import parse_record
 
 LIMIT = 12
@@ -145,7 +145,7 @@
 
     def test_failed_entry_withholds_its_long_part(self):
         """Units must come back, but not before their holds end."""
-        group = self.group(3, LimitSettings(short_hold_ms=90_000, long_hold_ms=200_000))
+        group = self.group(3, QuotaSettings(short_hold_ms=90_000, long_hold_ms=200_000))
         group.entries[2].paused = True
         group.run(110_000)
         self.assertEqual((2, 0), group.rows("t")[group.entries[2].process_id])
@@ -270,7 +270,7 @@
         print("seed", seed)
         self.rng, self.repairs = random.Random(seed), []
         self.group = group_of(
-            4, LimitSettings(short_hold_ms=90_000, long_hold_ms=240_000)
+            4, QuotaSettings(short_hold_ms=90_000, long_hold_ms=240_000)
         )
         self.group.entries[0].apply(TEXT, 0).result(0)
         self.group.run(4_000)
