--- a/src/cranberrywheel/process/caller_api.py
+++ b/src/cranberrywheel/process/caller_api.py
@@ -20,7 +20,7 @@
 )
 from cranberrywheel.process import messages as m
 from cranberrywheel.request.model import Answer, Outcome
-from cranberrywheel.request.problem import problem_answer
+from cranberrywheel.request.problem import build_problem_answer
 from cranberrywheel.settings import EntrySettings
 
 #: The dispatcher answers at the deadline; this is the margin for its thread.
@@ -80,16 +80,16 @@
             error: CranberrywheelError = RequestTooLargeError(
                 f"The body is over {self._settings.max_body_bytes} bytes.", "Send less."
             )
-            response = to_response(problem_answer(request_id, error, outcome))
+            response = to_response(build_problem_answer(request_id, error, outcome))
             response.headers["Connection"] = "close"
         except HTTPException as failure:
             error = MalformedRequestError(
                 f"The request could not be read: {failure.description}",
                 "Correct the request.",
             )
-            response = to_response(problem_answer(request_id, error, outcome))
+            response = to_response(build_problem_answer(request_id, error, outcome))
         except CranberrywheelError as error:
-            response = to_response(problem_answer(request_id, error, outcome))
+            response = to_response(build_problem_answer(request_id, error, outcome))
         if not self._is_ready():
             response.headers["Connection"] = "close"
         return response(environ, start_response)
@@ -150,7 +150,7 @@
             error = UnknownOutcomeError(
                 "The request was not decided in time.", "Retry it with its ticket."
             )
-            return problem_answer(incoming.request_id, error)
+            return build_problem_answer(incoming.request_id, error)
         finally:
             if connection is not None:
                 self._hangups.unwatch(connection)
--- a/src/cranberrywheel/process/placement.py
+++ b/src/cranberrywheel/process/placement.py
@@ -14,7 +14,7 @@
 from cranberrywheel.process.pending import PendingRequest
 from cranberrywheel.process.request_flow import RequestFlow
 from cranberrywheel.request.model import Answer, Outcome, Request
-from cranberrywheel.request.problem import problem_answer
+from cranberrywheel.request.problem import build_problem_answer
 from cranberrywheel.request.retry import plan_retry, request_caused_failures
 
 #: Workers that must say "does not fit" before a request counts as impossible.
@@ -82,7 +82,7 @@
             return False
         assert self._state.snapshot is not None
         found = self._state.snapshot.configuration.queues_by_name[request.queue]
-        expected_ms = self._state.estimates.run_ms(found.name, found.run_ms)
+        expected_ms = self._state.estimates.estimate_run_ms(found.name, found.run_ms)
         task_id = self.attempts.start(
             request, found, worker, expected_ms, pending.checkpoint
         )
@@ -143,7 +143,7 @@
         else:
             if self._retry(pending, result, certainly_not_started=False):
                 return
-            answer = problem_answer(
+            answer = build_problem_answer(
                 request.request_id,
                 TargetFailedError(
                     "The target ran the request and it failed.",
--- a/src/cranberrywheel/process/request_flow.py
+++ b/src/cranberrywheel/process/request_flow.py
@@ -25,7 +25,7 @@
 from cranberrywheel.process.pending import Forward, PendingRequest, Waiter
 from cranberrywheel.process.ticket_calls import claimed_answer
 from cranberrywheel.request.model import Answer, Outcome, Request
-from cranberrywheel.request.problem import problem_answer
+from cranberrywheel.request.problem import build_problem_answer
 from cranberrywheel.request.ticket import ClaimState, parse_owner
 
 _log = ComponentLogger("request")
@@ -66,14 +66,14 @@
 
     def _refusal(self, incoming: m.IncomingRequest, error: RequestError) -> Answer:
         """Describe a refusal; a ticket's earlier call may have run all the same."""
-        answer = problem_answer(incoming.request_id, error)
+        answer = build_problem_answer(incoming.request_id, error)
         now_ms = self._state.clock.now_ms()
         ran = incoming.idempotency_key and self._state.tickets.may_have_run(
             incoming.idempotency_key, now_ms
         )
         if not ran or answer.outcome is not Outcome.NOT_RUN:
             return answer
-        return problem_answer(incoming.request_id, error, Outcome.UNKNOWN)
+        return build_problem_answer(incoming.request_id, error, Outcome.UNKNOWN)
 
     def _admit(self, incoming: m.IncomingRequest, now_ms: int) -> Request:
         if self._state.drained:
@@ -159,7 +159,7 @@
         """
         assert self._state.snapshot is not None
         found = self._state.snapshot.configuration.queues_by_name[request.queue]
-        run_ms = self._state.estimates.run_ms(found.name, found.run_ms)
+        run_ms = self._state.estimates.estimate_run_ms(found.name, found.run_ms)
         # Learned run times vary; a request gets at least half of its time to start.
         latest_ms = request.deadline_ms - run_ms
         half_ms = (request.arrived_ms + request.deadline_ms) / 2
@@ -180,10 +180,10 @@
             request.urgent,
             self._state.fleet.shares_by_team.get(request.team, 0.0),
         )
-        wait_ms = self._state.estimates.wait_ms(
+        wait_ms = self._state.estimates.estimate_wait_ms(
             request.queue, found.run_ms, round(queued), max(1, slots)
         )
-        run_ms = self._state.estimates.run_ms(request.queue, found.run_ms)
+        run_ms = self._state.estimates.estimate_run_ms(request.queue, found.run_ms)
         if queued and now_ms + wait_ms + run_ms > request.deadline_ms:
             raise OverloadedError(
                 f"Queue {request.queue!r} would take {wait_ms / 1000:.1f} s, longer "
@@ -214,7 +214,7 @@
             if request.ticket
             else "Retry with a longer Request-Timeout-Ms.",
         )
-        self._answer(waiter, problem_answer(request.request_id, error))
+        self._answer(waiter, build_problem_answer(request.request_id, error))
         self._leave(pending, waiter)
 
     def cancel(self, request_id: str) -> None:
@@ -238,7 +238,7 @@
             _log.event("dropped a cancelled request", request_id=request_id)
             self.finish_not_run(pending, error)
             return
-        self._answer(waiter, problem_answer(request_id, error))
+        self._answer(waiter, build_problem_answer(request_id, error))
         self._leave(pending, waiter)
 
     def _leave(self, pending: PendingRequest, waiter: Waiter) -> None:
@@ -267,7 +267,7 @@
             self._state.tickets.release(
                 pending.request.ticket, self._state.clock.now_ms()
             )
-        self.finish(pending, problem_answer(pending.request.request_id, error))
+        self.finish(pending, build_problem_answer(pending.request.request_id, error))
 
     def finish_unknown(self, pending: PendingRequest, detail: str) -> None:
         """Answer a request that may have run.
@@ -275,7 +275,7 @@
         :param detail: what happened last, one sentence.
         """
         request = pending.request
-        answer = problem_answer(
+        answer = build_problem_answer(
             request.request_id,
             UnknownOutcomeError(
                 f"An attempt was started and gave no whole answer: {detail}",
@@ -335,7 +335,7 @@
             "The instance that handles the request did not answer.",
             "Retry with the same ticket, or retry an idempotent request.",
         )
-        self._answer(forward.waiter, problem_answer(message.request_id, error))
+        self._answer(forward.waiter, build_problem_answer(message.request_id, error))
 
     def drop_removed_queues(self) -> None:
         """Refuse what is queued for queues that the new version lacks."""
--- a/src/cranberrywheel/process/ticket_calls.py
+++ b/src/cranberrywheel/process/ticket_calls.py
@@ -13,7 +13,7 @@
 from cranberrywheel.process.admission import authorize_team, find_queue
 from cranberrywheel.process.entry_state import EntryState
 from cranberrywheel.request.model import Answer, Outcome
-from cranberrywheel.request.problem import problem_answer
+from cranberrywheel.request.problem import build_problem_answer
 from cranberrywheel.request.ticket import Claim, ClaimState, parse_owner
 
 #: Less than a caller of the query waits for its answer.
@@ -37,7 +37,7 @@
             "The process that could tell what became of the request is gone.",
             "Check with the target before you send a new request.",
         )
-    return problem_answer(request_id, error)
+    return build_problem_answer(request_id, error)
 
 
 class TicketCalls:
@@ -102,7 +102,7 @@
         try:
             claim = self._state.tickets.query(message.ticket, now_ms)
         except RequestError as error:
-            message.answer.set_result(problem_answer("", error))
+            message.answer.set_result(build_problem_answer("", error))
             return
         if claim.state is ClaimState.UNKNOWN and not message.forwarded:
             peer = self._state.fleet.peer_address(parse_owner(message.ticket))
--- a/src/cranberrywheel/request/__init__.py
+++ b/src/cranberrywheel/request/__init__.py
@@ -1,1 +1,1 @@
-"""State that lives for one request, and decisions about requests."""
+"""Per-request state and decisions: queueing, retries, routing and tickets."""
--- a/src/cranberrywheel/request/estimates.py
+++ b/src/cranberrywheel/request/estimates.py
@@ -1,26 +1,26 @@
-"""Run times and sizes learned from finished requests."""
+"""Run times and resource sizes estimated from finished requests."""
 
 import collections
 import dataclasses
 
-#: The declared run time counts as this many observed runs, because declared values
-#: may be far off.
+#: Number of observed runs that the declared run time weighs as much as. It is small
+#: because declared values may be far off.
 DECLARED_WEIGHT = 3
-#: Number of recent runs that the mean covers.
-MEAN_RUNS = 50
-#: Recent sizes kept per queue. All of them must exceed a worker before requests are
-#: refused, so that one oversized request does not block its queue.
+#: Number of recent runs that the mean run time covers.
+MAX_AVERAGED_RUNS = 50
+#: Number of recent sizes kept per queue. Requests are rejected only if all of them
+#: exceed the largest worker, so that one oversized request does not block its queue.
 SIZES_KEPT = 8
-#: One in this many refusals is let through, so that a queue whose requests became
-#: smaller is measured again.
+#: One in this many oversized requests is accepted, so that smaller requests of the
+#: queue are noticed.
 RECHECK_INTERVAL = 20
 
 
 @dataclasses.dataclass(slots=True)
-class _QueueRuns:
-    runs: float = 0.0
+class _QueueStatistics:
+    run_count: float = 0.0
     mean_ms: float = 0.0
-    refusals: int = 0
+    rejections: int = 0
     cores: collections.deque[float] = dataclasses.field(
         default_factory=lambda: collections.deque(maxlen=SIZES_KEPT)
     )
@@ -30,10 +30,10 @@
 
 
 class RunTimeEstimates:
-    """Learns per queue how long requests run and how large they are."""
+    """Estimates run time and resource size of the requests of each queue."""
 
     def __init__(self) -> None:
-        self._runs_by_queue: dict[str, _QueueRuns] = {}
+        self._statistics_by_queue: dict[str, _QueueStatistics] = {}
 
     def record(
         self,
@@ -42,62 +42,66 @@
         cores: float | None = None,
         memory_mb: int | None = None,
     ) -> None:
-        """Learn from one finished run.
+        """Include a finished run in the estimates.
 
         :param queue: queue name.
-        :param duration_ms: time that it ran.
-        :param cores: cores that it used, or ``None`` if no usage report covered it.
-        :param memory_mb: most memory that it used, or ``None``.
+        :param duration_ms: run time in milliseconds.
+        :param cores: cores used, or ``None`` if no usage report covered the run.
+        :param memory_mb: peak memory in MB, or ``None`` if no usage report covered
+            the run.
         """
-        runs = self._runs_by_queue.get(queue)
-        if runs is None:
-            runs = self._runs_by_queue[queue] = _QueueRuns()
-        runs.runs = min(runs.runs + 1, MEAN_RUNS)
-        runs.mean_ms += (duration_ms - runs.mean_ms) / runs.runs
+        statistics = self._statistics_by_queue.get(queue)
+        if statistics is None:
+            statistics = self._statistics_by_queue[queue] = _QueueStatistics()
+        statistics.run_count = min(statistics.run_count + 1, MAX_AVERAGED_RUNS)
+        statistics.mean_ms += (duration_ms - statistics.mean_ms) / statistics.run_count
         if cores is not None and memory_mb is not None:
-            runs.cores.append(cores)
-            runs.memory_mb.append(memory_mb)
+            statistics.cores.append(cores)
+            statistics.memory_mb.append(memory_mb)
 
-    def run_ms(self, queue: str, declared_ms: int) -> float:
+    def estimate_run_ms(self, queue: str, declared_ms: int) -> float:
         """Return the expected run time of a request.
 
         :param queue: queue name.
-        :param declared_ms: run time in the configuration.
-        :returns: milliseconds; the declared time while nothing is learned.
+        :param declared_ms: run time in the configuration, in milliseconds.
+        :returns: milliseconds; the declared run time until a run has finished.
         """
-        runs = self._runs_by_queue.get(queue)
-        if runs is None:
+        statistics = self._statistics_by_queue.get(queue)
+        if statistics is None:
             return float(declared_ms)
-        learned_ms = runs.runs * runs.mean_ms
-        weight = DECLARED_WEIGHT + runs.runs
-        return (DECLARED_WEIGHT * declared_ms + learned_ms) / weight
+        observed_ms = statistics.run_count * statistics.mean_ms
+        weight = DECLARED_WEIGHT + statistics.run_count
+        return (DECLARED_WEIGHT * declared_ms + observed_ms) / weight
 
-    def wait_ms(self, queue: str, declared_ms: int, queued: float, slots: int) -> float:
+    def estimate_wait_ms(
+        self, queue: str, declared_ms: int, queued: float, slots: int
+    ) -> float:
         """Return the expected wait of a request that arrives now.
 
         :param queue: queue name.
-        :param declared_ms: run time in the configuration.
-        :param queued: requests that start before it; see ``FairQueue.ahead_of``.
-        :param slots: slots that serve them.
-        :returns: milliseconds; infinite without slots.
+        :param declared_ms: run time in the configuration, in milliseconds.
+        :param queued: number of requests that start before it, as
+            :meth:`FairQueue.estimate_requests_ahead` returns it.
+        :param slots: number of slots that serve these requests.
+        :returns: milliseconds; infinite if there are no slots.
         """
         if slots <= 0:
             return float("inf")
-        return queued * self.run_ms(queue, declared_ms) / slots
+        return queued * self.estimate_run_ms(queue, declared_ms) / slots
 
     def should_reject_oversized(self, queue: str, cores: float, memory_mb: int) -> bool:
-        """Tell whether requests of a queue are too large for a worker.
+        """Decide whether to reject a request as too large for every worker.
 
         :param queue: queue name.
         :param cores: cores of the largest worker of the pool.
-        :param memory_mb: memory of that worker.
-        :returns: true if each recent run needed more than the worker has. One in
-            ``RECHECK_INTERVAL`` such requests is still let through.
+        :param memory_mb: memory of that worker in MB.
+        :returns: true if each recent run of the queue needed more than the worker
+            has. One in ``RECHECK_INTERVAL`` such requests is still accepted.
         """
-        runs = self._runs_by_queue.get(queue)
-        if runs is None or len(runs.cores) < SIZES_KEPT:
+        statistics = self._statistics_by_queue.get(queue)
+        if statistics is None or len(statistics.cores) < SIZES_KEPT:
             return False
-        if min(runs.cores) <= cores and min(runs.memory_mb) <= memory_mb:
+        if min(statistics.cores) <= cores and min(statistics.memory_mb) <= memory_mb:
             return False
-        runs.refusals += 1
-        return runs.refusals % RECHECK_INTERVAL != 0
+        statistics.rejections += 1
+        return statistics.rejections % RECHECK_INTERVAL != 0
--- a/src/cranberrywheel/request/model.py
+++ b/src/cranberrywheel/request/model.py
@@ -1,37 +1,38 @@
-"""Data of one request, shared by all parts that handle it."""
+"""Data classes for a request and its answer."""
 
 import dataclasses
 import enum
 
 
 class Outcome(enum.StrEnum):
-    """What is known about a request."""
+    """What is known about the execution of a request."""
 
     OK = "ok"
-    #: It ran and the target reported a failure.
+    #: The target ran the request and reported a failure.
     FAILED = "failed"
-    #: It may have run.
+    #: The request may have run.
     UNKNOWN = "unknown"
-    #: It certainly was not started and will not be.
+    #: The request was not started and never will be.
     NOT_RUN = "not-run"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """One caller's request, after authorization.
+    """A caller's request after authorization.
 
-    :param request_id: unique per request and process; also the task id.
+    :param request_id: id that is unique per request and process; also the task id.
     :param queue: queue name.
     :param service: service that the queue belongs to.
-    :param team: the team whose key came with it, or ``""`` on open queues.
-    :param body: the whole request body.
+    :param team: team whose key the request carried, or ``""`` on open queues.
+    :param body: the complete request body.
     :param content_type: media type of the body.
-    :param arrived_ms: clock reading at arrival.
-    :param deadline_ms: clock reading after which no answer is wanted.
-    :param idempotent: whether a second run does no harm.
-    :param urgent: whether it goes ahead of other work.
+    :param arrived_ms: clock reading in milliseconds at arrival.
+    :param deadline_ms: clock reading in milliseconds after which the caller no longer
+        needs an answer.
+    :param idempotent: whether the request may safely run more than once.
+    :param urgent: whether the request is served before non-urgent ones.
     :param ticket: the ticket of a non-idempotent request, or ``""``.
-    :param traceparent: the caller's trace context, passed on unchanged.
+    :param traceparent: the caller's W3C trace context, forwarded unchanged.
     """
 
     request_id: str
@@ -50,16 +51,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Answer:
-    """What a caller gets.
+    """The answer to a caller's request.
 
-    :param request_id: the request that this answers.
-    :param outcome: what is known about the request.
-    :param status: HTTP status.
-    :param body: the whole body.
+    :param request_id: id of the request.
+    :param outcome: what is known about the execution of the request.
+    :param status: HTTP status code.
+    :param body: the complete body.
     :param content_type: media type of the body.
-    :param kind: error kind, or ``""`` for a target's answer.
-    :param remedy: what the caller can do, for errors.
-    :param retry_after_s: value for ``Retry-After``, or ``None``.
+    :param kind: error kind, or ``""`` if a target gave the answer.
+    :param remedy: what the caller can do about an error.
+    :param retry_after_s: value of the ``Retry-After`` header in seconds, or ``None``.
     """
 
     request_id: str
--- a/src/cranberrywheel/request/problem.py
+++ b/src/cranberrywheel/request/problem.py
@@ -1,4 +1,4 @@
-"""Errors as ``application/problem+json`` (RFC 9457)."""
+"""Converts errors to ``application/problem+json`` answers (RFC 9457)."""
 
 import json
 
@@ -8,15 +8,16 @@
 CONTENT_TYPE = "application/problem+json"
 
 
-def problem_answer(
+def build_problem_answer(
     request_id: str, error: CranberrywheelError, outcome: Outcome | None = None
 ) -> Answer:
-    """Describe an error to a caller.
+    """Build the answer that describes an error to a caller.
 
-    :param request_id: the request that failed.
-    :param error: the typed error.
-    :param outcome: what is known about the request; default as the error says.
-    :returns: an answer with kind, remedy, outcome and request id.
+    :param request_id: id of the request that failed.
+    :param error: the error.
+    :param outcome: what is known about the execution of the request. Defaults to the
+        outcome of the error, or to ``NOT_RUN`` if the error has none.
+    :returns: an answer whose body holds kind, remedy, outcome and request id.
     """
     outcome = outcome or Outcome(error.outcome or Outcome.NOT_RUN)
     retry_after_s = error.retry_after_s if isinstance(error, RequestError) else None
--- a/src/cranberrywheel/request/retry.py
+++ b/src/cranberrywheel/request/retry.py
@@ -1,4 +1,4 @@
-"""Whether and when a failed attempt is retried."""
+"""Decides whether and when a failed attempt is retried."""
 
 import random
 import typing as t
@@ -6,26 +6,31 @@
 from cranberrywheel.request.model import Request
 
 #: Retries that each request adds to the budget.
-RETRIES_PER_REQUEST = 0.1
-#: Retries kept at low load, where 10% of recent requests is less than one.
+RETRY_RATIO = 0.1
+#: Smallest balance to which the budget decays. It permits retries at low load, where
+#: 10% of the recent requests is less than one.
 MIN_BALANCE = 3.0
-#: A balance above the minimum halves in this time, so that retries saved during a
-#: long healthy period cannot double the load in the first seconds of a failure.
+#: Half-life of the balance above the minimum. The decay prevents retries accumulated
+#: in a long healthy period from doubling the load in the first seconds of a failure.
 BALANCE_HALF_LIFE_MS = 10_000
-#: Failures on this many different workers show that the request is the cause.
-WORKERS_TO_BLAME_REQUEST = 3
-#: Attempts that may have run. More would only spread a request that breaks workers.
+#: Number of different workers on which a request must fail before the request itself
+#: is taken for the cause.
+MIN_FAILED_WORKERS = 3
+#: Bound on attempts of a request that may have run. Further attempts would send a
+#: request that crashes workers to more of them.
 MAX_ATTEMPTS = 3
-#: Attempts that a worker refused to start do no harm to it.
-MAX_UNSTARTED_ATTEMPTS = 6
+#: Bound on attempts of a request that certainly did not start. It is higher, because
+#: a worker is not harmed by an attempt that it refuses.
+MAX_NOT_STARTED_ATTEMPTS = 6
 BASE_DELAY_MS = 50
 MAX_DELAY_MS = 2_000
 
 
 class RetryBudget:
-    """Limits retries to a tenth of recent requests.
+    """Limits retries to a tenth of the recent requests.
 
-    Without it, a failing target multiplies its own load by the number of attempts.
+    Without the limit, failures of a target would multiply its load by the number of
+    attempts per request.
     """
 
     def __init__(self) -> None:
@@ -41,18 +46,18 @@
         self._updated_ms = now_ms
 
     def record_request(self, now_ms: int) -> None:
-        """Count a first attempt.
+        """Credit the budget for the first attempt of a request.
 
-        :param now_ms: clock reading.
+        :param now_ms: clock reading in milliseconds.
         """
         self._decay(now_ms)
-        self._balance += RETRIES_PER_REQUEST
+        self._balance += RETRY_RATIO
 
     def try_acquire(self, now_ms: int) -> bool:
-        """Use one retry.
+        """Charge one retry to the budget if its balance permits it.
 
-        :param now_ms: clock reading.
-        :returns: whether the budget had one.
+        :param now_ms: clock reading in milliseconds.
+        :returns: whether the retry is permitted.
         """
         self._decay(now_ms)
         if self._balance < 1:
@@ -62,11 +67,11 @@
 
 
 def request_caused_failures(failed_workers: t.Iterable[str]) -> bool:
-    """Tell whether a request, not its workers, caused its failures.
+    """Return whether a request, rather than its workers, caused its failures.
 
-    :param failed_workers: names of the workers on which it ran and failed.
+    :param failed_workers: names of the workers on which the request ran and failed.
     """
-    return len(set(failed_workers)) >= WORKERS_TO_BLAME_REQUEST
+    return len(set(failed_workers)) >= MIN_FAILED_WORKERS
 
 
 def plan_retry(
@@ -77,19 +82,21 @@
     budget: RetryBudget,
     rng: random.Random,
 ) -> int | None:
-    """Decide whether a failed attempt is followed by another.
+    """Decide whether a failed attempt is retried.
 
     :param request: the request.
-    :param attempts: attempts so far, at least 1.
-    :param certainly_not_started: whether no attempt can have run.
-    :param now_ms: clock reading.
-    :param budget: charged only if the result is a delay.
-    :param rng: source of the jitter.
-    :returns: delay in milliseconds, or ``None`` for no retry.
+    :param attempts: number of attempts so far, at least 1.
+    :param certainly_not_started: whether it is certain that no attempt has run.
+    :param now_ms: clock reading in milliseconds.
+    :param budget: the retry budget; charged only if the attempt is retried.
+    :param rng: random generator for the jitter.
+    :returns: delay before the retry in milliseconds, or ``None`` for no retry.
     """
     if not (request.idempotent or certainly_not_started):
         return None
-    if attempts >= (MAX_UNSTARTED_ATTEMPTS if certainly_not_started else MAX_ATTEMPTS):
+    if attempts >= (
+        MAX_NOT_STARTED_ATTEMPTS if certainly_not_started else MAX_ATTEMPTS
+    ):
         return None
     backoff_ms = min(MAX_DELAY_MS, BASE_DELAY_MS * 2 ** (attempts - 1))
     delay_ms = round(backoff_ms * rng.uniform(0.5, 1.5))
--- a/src/cranberrywheel/request/routing.py
+++ b/src/cranberrywheel/request/routing.py
@@ -1,13 +1,14 @@
-"""Choice of one worker among sampled candidates."""
+"""Chooses a worker by the power of two random choices."""
 
 import random
 import typing as t
 
-#: Samples drawn before the whole list is searched. Only requests that exclude most
-#: of a short list need the search.
-MAX_SAMPLES = 8
-#: Two samples already avoid the longest queues; more gain little and cost time.
-CHOICES = 2
+#: Number of random draws before the whole list is searched. The search is needed only
+#: if most workers of a short list cannot take the request.
+MAX_DRAWS = 8
+#: Number of usable candidates that are compared. Two already avoid the longest
+#: queues; further ones improve the balance little and cost time.
+SAMPLED_CANDIDATES = 2
 
 T = t.TypeVar("T")
 
@@ -15,7 +16,7 @@
 class SamplingList(t.Generic[T]):
     """A set with O(1) insertion, removal and access by position.
 
-    Positions change with every removal and carry no meaning.
+    A removal may move another item; the order of the items is arbitrary.
     """
 
     def __init__(self) -> None:
@@ -48,33 +49,33 @@
             self._positions[last] = position
 
 
-def _sample(
+def _choose_least_loaded(
     items: SamplingList[T],
-    view: t.Callable[[T, int], float | None],
+    get_load: t.Callable[[T, int], float | None],
     rng: random.Random,
     now_ms: int,
 ) -> T | None:
     count = len(items)
     best: T | None = None
     best_load = 0.0
-    found = 0
-    if count > CHOICES:
-        for _ in range(MAX_SAMPLES):
+    usable_count = 0
+    if count > SAMPLED_CANDIDATES:
+        for _ in range(MAX_DRAWS):
             item = items[int(rng.random() * count)]
-            load = view(item, now_ms)
+            load = get_load(item, now_ms)
             if load is None:
                 continue
             if best is None or load < best_load:
                 best, best_load = item, load
-            found += 1
-            if found == CHOICES:
+            usable_count += 1
+            if usable_count == SAMPLED_CANDIDATES:
                 break
         if best is not None:
             return best
     offset = int(rng.random() * count)
     for index in range(count):
         item = items[(offset + index) % count]
-        load = view(item, now_ms)
+        load = get_load(item, now_ms)
         if load is not None and (best is None or load < best_load):
             best, best_load = item, load
     return best
@@ -82,20 +83,25 @@
 
 def choose_worker(
     candidates: t.Iterable[SamplingList[T]],
-    view: t.Callable[[T, int], float | None],
+    get_load: t.Callable[[T, int], float | None],
     rng: random.Random,
     now_ms: int,
 ) -> T | None:
-    """Choose the less loaded of two sampled workers in the first usable group.
-
-    :param candidates: groups in order of preference: own zone, then other zones.
-    :param view: returns the load of a worker at a clock reading, or ``None`` if it
-        cannot take this request.
-    :param rng: source of the samples.
-    :param now_ms: clock reading, passed to ``view``.
+    """Choose the less loaded of two random workers of the first usable group.
+
+    :param candidates: groups of workers in order of preference: those of the local
+        zone, then those of other zones.
+    :param get_load: returns the load of a worker at a clock reading, or ``None`` if
+        the worker cannot take this request.
+    :param rng: random generator for the choice.
+    :param now_ms: clock reading in milliseconds, passed to ``get_load``.
     :returns: a worker, or ``None`` if no group has a usable one.
     """
     for group in candidates:
-        if len(group) and (chosen := _sample(group, view, rng, now_ms)) is not None:
+        if (
+            len(group)
+            and (chosen := _choose_least_loaded(group, get_load, rng, now_ms))
+            is not None
+        ):
             return chosen
     return None
--- a/src/cranberrywheel/request/ticket.py
+++ b/src/cranberrywheel/request/ticket.py
@@ -1,4 +1,4 @@
-"""Tickets that let a non-idempotent request start at most once."""
+"""Tickets: idempotency keys that let a non-idempotent request start at most once."""
 
 import collections
 import dataclasses
@@ -16,23 +16,23 @@
 from cranberrywheel.request.model import Answer, Outcome
 from cranberrywheel.settings import EntrySettings
 
-#: Separates the fields of a ticket. It needs no escaping in URLs and cannot occur in
-#: the names of teams, queues and processes.
+#: Separator of the fields of a ticket. It needs no escaping in URLs and cannot occur
+#: in the names of teams, queues and processes.
 SEPARATOR = "~"
 MAC_BYTES = 16
-#: A team may hold this many times the free places of the book, so that one team that
-#: asks for many tickets leaves some for the others.
-PLACES_PER_FREE_PLACE = 4
+#: A team may hold this many tickets per free entry of the registry, so that a team
+#: that requests many tickets leaves some to the others.
+MAX_TICKETS_PER_FREE_ENTRY = 4
 
 
 class ClaimState(enum.Enum):
-    """What a book knows about the request of a ticket."""
+    """What a registry knows about the request of a ticket."""
 
-    #: The claimant may start it; nobody else can.
+    #: The claimant, and nobody else, may start the request.
     NEW = "new"
     RUNNING = "running"
     FINISHED = "finished"
-    #: It was not started and never will be.
+    #: The request was not started and never will be.
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
 
@@ -41,8 +41,8 @@
 class Claim:
     """Result of a claim or query.
 
-    :param state: what is known.
-    :param answer: the answer, if ``FINISHED``.
+    :param state: what is known about the request of the ticket.
+    :param answer: the answer if the state is ``FINISHED``, else ``None``.
     """
 
     state: ClaimState
@@ -51,10 +51,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TicketExport:
-    """Results that a process hands over when it shuts down.
+    """Results that a process transfers to a peer when it shuts down.
 
-    :param forgotten_ms: latest expiry, on its clock, of a ticket that may have run
-        and whose result it may have dropped.
+    :param forgotten_ms: clock reading of that process in milliseconds; the result of
+        a ticket that expired by then may already have been discarded.
     :param results: pairs of ticket and answer.
     """
 
@@ -76,15 +76,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _HandedOver:
+class _ImportedResults:
     answers_by_ticket: dict[str, Answer]
     forgotten_ms: int
-    #: Set by the first ``expire`` after the import.
-    drop_ms: int | None = None
+    #: Clock reading in milliseconds; set by the first ``expire`` after the import.
+    delete_at_ms: int | None = None
 
 
 @dataclasses.dataclass(frozen=True)
-class _Fields:
+class _TicketFields:
     process_id: str
     team: str
     queue: str
@@ -92,44 +92,45 @@
     expires_ms: int
 
 
-def _parse(ticket: str) -> tuple[_Fields, str, str]:
+def _parse_ticket(ticket: str) -> tuple[_TicketFields, str, str]:
     """Split a ticket into its fields, the signed text and the MAC."""
     signed, _, mac = ticket.rpartition(SEPARATOR)
     parts = signed.split(SEPARATOR)
     if len(parts) != 5 or not parts[0] or not mac:
-        raise _malformed()
+        raise _malformed_ticket_error()
     process_id, team, queue, serial, expires = parts
     if not (expires.isascii() and expires.isdigit() and len(expires) < 20):
-        raise _malformed()
-    return _Fields(process_id, team, queue, serial, int(expires)), signed, mac
+        raise _malformed_ticket_error()
+    return _TicketFields(process_id, team, queue, serial, int(expires)), signed, mac
 
 
-def _malformed() -> MalformedRequestError:
+def _malformed_ticket_error() -> MalformedRequestError:
     return MalformedRequestError(
-        "The ticket is not one that this deployment issued.",
+        "The ticket was not issued by this deployment.",
         "Use a ticket from POST /v1/tickets or Next-Idempotency-Key unchanged.",
     )
 
 
 def parse_owner(ticket: str) -> str:
-    """Return the process that issued a ticket, without verifying it.
+    """Return the process that issued a ticket, without verifying the MAC.
 
     :param ticket: the ticket.
-    :returns: process id.
+    :returns: the process id.
     :raises MalformedRequestError: if the text is not a ticket.
     """
-    return _parse(ticket)[0].process_id
+    return _parse_ticket(ticket)[0].process_id
 
 
 class TicketRegistry:
-    """Tickets of one process and the results of their requests.
+    """Issues the tickets of one process and stores the results of their requests.
 
-    Each issued ticket reserves its record until it expires, so a genuine ticket can
-    always be claimed or voided. Clock readings are those of this process.
+    Each issued ticket reserves a record until it expires, so that a genuine ticket can
+    always be claimed or voided. All clock readings are those of this process, in
+    milliseconds.
 
     :param process_id: id of this process.
-    :param settings: lifetimes and the bound on records.
-    :param secret: key of the MACs; random per process.
+    :param settings: lifetimes of tickets and results, and the bound on records.
+    :param secret: MAC key, random per process.
     """
 
     def __init__(self, process_id: str, settings: EntrySettings, secret: bytes) -> None:
@@ -140,45 +141,45 @@
         self._records_by_ticket: dict[str, _Record] = {}
         self._reserved_by_team: collections.Counter[str] = collections.Counter()
         self._reserved = 0
-        #: Clock readings at which a ticket's record may be dropped.
-        self._drops: list[tuple[int, str]] = []
-        self._handed_over_by_process: dict[str, _HandedOver] = {}
+        #: Clock readings at which records may be deleted, with their tickets.
+        self._expiry_heap: list[tuple[int, str]] = []
+        self._imported_by_process: dict[str, _ImportedResults] = {}
         self._exported = False
 
     def issue(self, team: str, queue: str, now_ms: int) -> str:
         """Create a ticket.
 
-        :param team: team that may use it, or ``""`` on open queues.
-        :param queue: queue that it is for.
+        :param team: team that may use the ticket, or ``""`` on open queues.
+        :param queue: queue for which the ticket is valid.
         :param now_ms: clock reading.
         :returns: the ticket.
-        :raises OverloadedError: if the book is full or was handed over, or if the
-            team holds so many tickets that the rest must be left to others.
+        :raises OverloadedError: if the registry is full or was exported, or if the
+            remaining entries are reserved for other teams.
         """
         self.expire(now_ms)
-        free = self._settings.max_tickets - self._reserved
-        held = self._reserved_by_team[team]
-        if self._exported or held >= PLACES_PER_FREE_PLACE * free:
+        free_entries = self._settings.max_tickets - self._reserved
+        team_reserved = self._reserved_by_team[team]
+        if self._exported or team_reserved >= MAX_TICKETS_PER_FREE_ENTRY * free_entries:
             raise OverloadedError("No ticket can be issued now.", "Retry later.")
         expires_ms = now_ms + self._settings.ticket_lifetime_ms
         fields = (self._process_id, team, queue, str(next(self._serials)))
         signed = SEPARATOR.join((*fields, str(expires_ms)))
-        ticket = signed + SEPARATOR + self._mac(signed)
+        ticket = signed + SEPARATOR + self._compute_mac(signed)
         self._reserved += 1
         self._reserved_by_team[team] += 1
-        heapq.heappush(self._drops, (expires_ms, ticket))
+        heapq.heappush(self._expiry_heap, (expires_ms, ticket))
         return ticket
 
     def claim(self, ticket: str, team: str, queue: str, now_ms: int) -> Claim:
         """Bind a request to its ticket.
 
-        :param ticket: the ticket that came with the request.
+        :param ticket: the ticket of the request.
         :param team: team of the request.
         :param queue: queue of the request.
         :param now_ms: clock reading.
-        :returns: ``NEW`` for the only claimant that may start the request.
-        :raises MalformedRequestError: if the ticket is forged.
-        :raises ForbiddenError: if it is for another team or queue.
+        :returns: ``NEW`` if the claimant may start the request; only one claimant may.
+        :raises MalformedRequestError: if the ticket is malformed or forged.
+        :raises ForbiddenError: if the ticket is for another team or queue.
         """
         fields = self._verify(ticket)
         if (fields.team, fields.queue) != (team, queue):
@@ -195,7 +196,7 @@
         return Claim(ClaimState.NEW)
 
     def mark_started(self, ticket: str) -> None:
-        """Note that the request is being sent to a worker.
+        """Record that the request is being sent to a worker.
 
         :param ticket: a claimed ticket.
         """
@@ -205,7 +206,7 @@
         """Store the answer for later claims and queries.
 
         :param ticket: a claimed ticket; no effect if its claim was released.
-        :param answer: the whole answer.
+        :param answer: the complete answer.
         :param now_ms: clock reading.
         """
         if record := self._records_by_ticket.get(ticket):
@@ -214,7 +215,7 @@
     def release(self, ticket: str, now_ms: int) -> None:
         """Undo a claim whose request was certainly not started.
 
-        :param ticket: a claimed ticket; it may be claimed again until it expires.
+        :param ticket: a claimed ticket, which can be claimed again until it expires.
         :param now_ms: clock reading.
         """
         record = self._records_by_ticket.get(ticket)
@@ -222,12 +223,13 @@
             del self._records_by_ticket[ticket]
 
     def query(self, ticket: str, now_ms: int) -> Claim:
-        """Return what is known and void the ticket if it was not claimed.
+        """Return what is known about a ticket; void it if it was not claimed.
 
-        :param ticket: any ticket.
+        :param ticket: a ticket of any process.
         :param now_ms: clock reading.
-        :returns: never ``NEW``; ``RUNNING`` also while the request is queued.
-        :raises MalformedRequestError: if the ticket is forged.
+        :returns: a claim whose state is never ``NEW``; ``RUNNING`` includes requests
+            that are still queued.
+        :raises MalformedRequestError: if the ticket is malformed or forged.
         """
         fields = self._verify(ticket)
         claim = self._look_up(ticket, fields, now_ms)
@@ -237,32 +239,32 @@
         return Claim(ClaimState.NOT_RUN)
 
     def expire(self, now_ms: int) -> None:
-        """Drop what is no longer needed.
+        """Delete records and imported results whose retention has ended.
 
         :param now_ms: clock reading.
         """
         retention_ms = self._settings.ticket_retention_ms
-        while self._drops and self._drops[0][0] <= now_ms:
-            due_ms, ticket = heapq.heappop(self._drops)
-            fields = _parse(ticket)[0]
+        while self._expiry_heap and self._expiry_heap[0][0] <= now_ms:
+            due_ms, ticket = heapq.heappop(self._expiry_heap)
+            fields = _parse_ticket(ticket)[0]
             kept_until_ms = fields.expires_ms + retention_ms
             record = self._records_by_ticket.get(ticket)
             phase = record.phase if record else _Phase.VOID
             if phase in (_Phase.CLAIMED, _Phase.STARTED):
                 later_ms = max(kept_until_ms, now_ms + retention_ms)
-                heapq.heappush(self._drops, (later_ms, ticket))
+                heapq.heappush(self._expiry_heap, (later_ms, ticket))
             elif phase is _Phase.FINISHED and due_ms < kept_until_ms:
-                heapq.heappush(self._drops, (kept_until_ms, ticket))
+                heapq.heappush(self._expiry_heap, (kept_until_ms, ticket))
             else:
                 self._records_by_ticket.pop(ticket, None)
                 self._reserved -= 1
                 self._reserved_by_team[fields.team] -= 1
-        self._expire_handed_over(now_ms)
+        self._expire_imported(now_ms)
 
     def may_have_run(self, ticket: str, now_ms: int) -> bool:
-        """Tell whether the request of a ticket may have been started by anyone.
+        """Return whether the request of a ticket may have been started.
 
-        :param ticket: any text; what is no ticket has started nothing.
+        :param ticket: any text; false if it is not a ticket.
         :param now_ms: clock reading.
         """
         try:
@@ -273,10 +275,10 @@
         return claim is not None and claim.state is not ClaimState.NOT_RUN
 
     def export_results(self, now_ms: int) -> TicketExport:
-        """Return all results for a peer and start nothing more.
+        """Return all results for a peer and reject new tickets and claims from now on.
 
-        Requests that are still claimed are listed with outcome ``unknown``, because
-        the receiver answers unlisted tickets with ``not-run``.
+        Requests that are still claimed are exported with outcome ``unknown``, because
+        the receiver answers ``not-run`` for tickets that are not in the export.
 
         :param now_ms: clock reading.
         """
@@ -286,66 +288,68 @@
             if record.phase is _Phase.FINISHED and record.answer:
                 results.append((ticket, record.answer))
             elif record.phase is not _Phase.VOID:
-                results.append((ticket, _unknown_answer()))
+                results.append((ticket, _unknown_outcome_answer()))
         return TicketExport(
             forgotten_ms=now_ms - self._settings.ticket_retention_ms,
             results=tuple(results),
         )
 
     def export_imported_results(self) -> list[tuple[str, TicketExport]]:
-        """Return what this process answers for others, to pass it on.
+        """Return the results imported from other processes, for the next peer.
 
-        :returns: pairs of process id and its export.
+        :returns: pairs of process id and the export of that process.
         """
         return [
             (
                 process_id,
                 TicketExport(
-                    forgotten_ms=handed.forgotten_ms,
-                    results=tuple(handed.answers_by_ticket.items()),
+                    forgotten_ms=imported.forgotten_ms,
+                    results=tuple(imported.answers_by_ticket.items()),
                 ),
             )
-            for process_id, handed in self._handed_over_by_process.items()
+            for process_id, imported in self._imported_by_process.items()
         ]
 
     def import_results(self, process_id: str, export: TicketExport) -> None:
-        """Answer for a process that shut down.
+        """Store the results of a process that shut down, to answer on its behalf.
 
-        :param process_id: that process.
-        :param export: its complete export; its other tickets count as not run, as
-            long as it would have kept their records.
-        :raises OverloadedError: if there is no room; its tickets then stay unknown.
+        :param process_id: id of that process.
+        :param export: its complete export. Its other tickets count as not run, unless
+            they expired by ``forgotten_ms``.
+        :raises OverloadedError: if the results exceed the bound on records; none is
+            stored then, and the outcome of the process's tickets stays unknown.
         """
         answers = dict(export.results)
-        kept = sum(
-            len(handed.answers_by_ticket)
-            for other, handed in self._handed_over_by_process.items()
+        imported_count = sum(
+            len(imported.answers_by_ticket)
+            for other, imported in self._imported_by_process.items()
             if other != process_id
         )
-        if kept + len(answers) > self._settings.max_tickets:
+        if imported_count + len(answers) > self._settings.max_tickets:
             raise OverloadedError(
-                f"The results of {process_id} do not fit.", "Hand over to another peer."
+                f"The ticket results of {process_id} exceed max_tickets.",
+                "Hand over to another peer.",
             )
-        self._handed_over_by_process[process_id] = _HandedOver(
+        self._imported_by_process[process_id] = _ImportedResults(
             answers, export.forgotten_ms
         )
 
-    def _mac(self, signed: str) -> str:
+    def _compute_mac(self, signed: str) -> str:
         digest = hmac.new(self._secret, signed.encode(), hashlib.sha256).digest()
         return digest[:MAC_BYTES].hex()
 
-    def _verify(self, ticket: str) -> _Fields:
-        fields, signed, mac = _parse(ticket)
+    def _verify(self, ticket: str) -> _TicketFields:
+        fields, signed, mac = _parse_ticket(ticket)
         if fields.process_id == self._process_id and not hmac.compare_digest(
-            self._mac(signed).encode(), mac.encode()
+            self._compute_mac(signed).encode(), mac.encode()
         ):
-            raise _malformed()
+            raise _malformed_ticket_error()
         return fields
 
-    def _look_up(self, ticket: str, fields: _Fields, now_ms: int) -> Claim | None:
-        """Return what is known, or ``None`` for a ticket that can be claimed."""
+    def _look_up(self, ticket: str, fields: _TicketFields, now_ms: int) -> Claim | None:
+        """Return what is known about a ticket, or ``None`` if it can be claimed."""
         if fields.process_id != self._process_id:
-            return self._look_up_handed_over(ticket, fields)
+            return self._look_up_imported(ticket, fields)
         record = self._records_by_ticket.get(ticket)
         if record is None:
             if now_ms >= fields.expires_ms + self._settings.ticket_retention_ms:
@@ -357,29 +361,29 @@
             return Claim(ClaimState.NOT_RUN)
         return Claim(ClaimState.RUNNING)
 
-    def _look_up_handed_over(self, ticket: str, fields: _Fields) -> Claim:
-        handed = self._handed_over_by_process.get(fields.process_id)
-        if handed is None:
+    def _look_up_imported(self, ticket: str, fields: _TicketFields) -> Claim:
+        imported = self._imported_by_process.get(fields.process_id)
+        if imported is None:
             return Claim(ClaimState.UNKNOWN)
-        answer = handed.answers_by_ticket.get(ticket)
+        answer = imported.answers_by_ticket.get(ticket)
         if answer is None:
-            forgotten = fields.expires_ms <= handed.forgotten_ms
-            return Claim(ClaimState.UNKNOWN if forgotten else ClaimState.NOT_RUN)
+            result_discarded = fields.expires_ms <= imported.forgotten_ms
+            return Claim(ClaimState.UNKNOWN if result_discarded else ClaimState.NOT_RUN)
         if answer.outcome is Outcome.UNKNOWN:
             return Claim(ClaimState.UNKNOWN)
         return Claim(ClaimState.FINISHED, answer)
 
-    def _expire_handed_over(self, now_ms: int) -> None:
+    def _expire_imported(self, now_ms: int) -> None:
         settings = self._settings
-        keep_ms = settings.ticket_lifetime_ms + settings.ticket_retention_ms
-        for process_id, handed in list(self._handed_over_by_process.items()):
-            if handed.drop_ms is None:
-                handed.drop_ms = now_ms + keep_ms
-            elif handed.drop_ms <= now_ms:
-                del self._handed_over_by_process[process_id]
+        retained_ms = settings.ticket_lifetime_ms + settings.ticket_retention_ms
+        for process_id, imported in list(self._imported_by_process.items()):
+            if imported.delete_at_ms is None:
+                imported.delete_at_ms = now_ms + retained_ms
+            elif imported.delete_at_ms <= now_ms:
+                del self._imported_by_process[process_id]
 
 
-def _unknown_answer() -> Answer:
+def _unknown_outcome_answer() -> Answer:
     return Answer(
         request_id="",
         outcome=Outcome.UNKNOWN,
--- a/src/cranberrywheel_load/bench_schedulers.py
+++ b/src/cranberrywheel_load/bench_schedulers.py
@@ -64,8 +64,10 @@
         queued = self._queue.estimate_requests_ahead(
             request.team, request.urgent, share
         )
-        wait_ms = self._estimates.wait_ms(request.queue, DECLARED_MS, queued, CAPACITY)
-        run_ms = self._estimates.run_ms(request.queue, DECLARED_MS)
+        wait_ms = self._estimates.estimate_wait_ms(
+            request.queue, DECLARED_MS, queued, CAPACITY
+        )
+        run_ms = self._estimates.estimate_run_ms(request.queue, DECLARED_MS)
         if now_ms + wait_ms + run_ms > request.deadline_ms:
             return False
         if request.request_id not in self._failed_workers:
@@ -106,7 +108,7 @@
     ) -> None:
         """Learn from an attempt."""
         self._use[request.team] -= 1
-        run_ms = self._estimates.run_ms(request.queue, DECLARED_MS)
+        run_ms = self._estimates.estimate_run_ms(request.queue, DECLARED_MS)
         self._table.finished(worker, verdict, duration_ms, now_ms, run_ms)
         if verdict is AttemptVerdict.OK:
             self._estimates.record(request.queue, duration_ms, 1.0, 64)
--- a/src/cranberrywheel_load/decision_cost.py
+++ b/src/cranberrywheel_load/decision_cost.py
@@ -114,7 +114,7 @@
         """Admit, start and finish one request."""
         number = next(self.numbers)
         self.budget.record_request(now_ms)
-        self.estimates.wait_ms("queue", 100, len(self.queue), SLOTS)
+        self.estimates.estimate_wait_ms("queue", 100, len(self.queue), SLOTS)
         self.queue.push(make_request(number, self.arriving_team(number), now_ms))
         self.table.has_room("pool", now_ms)
         request = self.queue.pop(
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -16,7 +16,7 @@
 from cranberrywheel.errors import NotReadyError
 from cranberrywheel.process import messages as m
 from cranberrywheel.request.model import Answer, Outcome
-from cranberrywheel.request.problem import problem_answer
+from cranberrywheel.request.problem import build_problem_answer
 from cranberrywheel.request.ticket import TicketExport
 from cranberrywheel.version.configuration import parse_configuration
 
@@ -265,7 +265,9 @@
         futures = [self.bench.submit(f"r{i}") for i in range(4)]
         self.bench.advance(400)
         ((_, incoming, forward),) = self.bench.forwarded
-        forward.set_result(problem_answer(incoming.request_id, NotReadyError("x")))
+        forward.set_result(
+            build_problem_answer(incoming.request_id, NotReadyError("x"))
+        )
         self.bench.post()
         self.bench.dispatcher.turn()
         self.assertEqual(1, sum(future.done() for future in futures))
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -11,35 +11,40 @@
         return estimates
 
     def test_declared_time_that_is_far_off_is_corrected(self):
-        self.assertEqual(10, RunTimeEstimates().run_ms("q", 10))
-        self.assertTrue(900 < self.learned(50).run_ms("q", 10) < 1_000)
-        self.assertTrue(900 < self.learned(50).run_ms("q", 2_000) < 1_100)
+        """A wrong declaration must not distort the predicted waits for long."""
+        self.assertEqual(10, RunTimeEstimates().estimate_run_ms("q", 10))
+        self.assertTrue(900 < self.learned(50).estimate_run_ms("q", 10) < 1_000)
+        self.assertTrue(900 < self.learned(50).estimate_run_ms("q", 2_000) < 1_100)
 
     def test_changed_run_time_is_followed(self):
+        """A long history must not hide that requests became slower."""
         estimates = self.learned(1_000, 100)
         for _ in range(150):
             estimates.record("q", 1_000, 1.0, 1)
-        self.assertTrue(estimates.run_ms("q", 100) > 850)
+        self.assertTrue(estimates.estimate_run_ms("q", 100) > 850)
 
     def test_wait_grows_with_the_queue_and_falls_with_slots(self):
+        """A wrong prediction would refuse requests that could start in time."""
         estimates = RunTimeEstimates()
-        self.assertEqual(0, estimates.wait_ms("q", 100, 0, 8))
-        self.assertEqual(250, estimates.wait_ms("q", 100, 20, 8))
-        self.assertEqual(float("inf"), estimates.wait_ms("q", 100, 1, 0))
+        self.assertEqual(0, estimates.estimate_wait_ms("q", 100, 0, 8))
+        self.assertEqual(250, estimates.estimate_wait_ms("q", 100, 20, 8))
+        self.assertEqual(float("inf"), estimates.estimate_wait_ms("q", 100, 1, 0))
 
-    def test_jobs_that_can_never_run_are_refused(self):
+    def test_requests_that_can_never_run_are_refused(self):
+        """Requests that exceed every worker must not be started again and again."""
         self.assertFalse(RunTimeEstimates().should_reject_oversized("q", 1, 1))
         self.assertTrue(self.learned(8).should_reject_oversized("q", 1.0, 1_000))
         self.assertTrue(self.learned(8).should_reject_oversized("q", 4.0, 99))
         self.assertFalse(self.learned(8).should_reject_oversized("q", 2.0, 100))
 
     def test_one_oversized_request_does_not_block_its_queue(self):
+        """A single large run must not cause the refusal of normal requests."""
         estimates = self.learned(8, cores=1.0)
         estimates.record("q", 100, 50.0, 100)
         self.assertFalse(estimates.should_reject_oversized("q", 2.0, 1_000))
 
     def test_refused_queue_is_measured_again(self):
-        # Guards against a refusal that lasts for ever, because it stops the records.
+        """Refusals stop new size records, so they must not become permanent."""
         estimates = self.learned(8)
         refused = [
             estimates.should_reject_oversized("q", 1.0, 1_000) for _ in range(100)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -19,24 +19,30 @@
         super().setUp()
         self.rng = random.Random(SEED)
 
-    def test_own_zone_first_then_spill_over(self):
+    def test_local_zone_is_preferred_to_other_zones(self):
+        """A less loaded remote worker must not draw requests out of the zone."""
         view = lambda w, _now: {"near": 0.9, "far": 0.0}[w]
         for near, expected in ((group("near"), "near"), (group(), "far")):
             groups = (near, group("far"))
             self.assertEqual(expected, choose_worker(groups, view, self.rng, 0))
 
-    def test_unusable_group_spills_over(self):
+    def test_unusable_group_is_skipped(self):
+        """A local zone without usable workers must not block requests."""
         groups, view = (group(*"abc"), group("d")), lambda w, _: {"d": 0.0}.get(w)
         self.assertEqual("d", choose_worker(groups, view, self.rng, 0))
 
     def test_single_usable_worker_among_many_is_found(self):
+        """Random draws alone would miss the only worker that can take a request."""
         items = group(*range(100))
         view = lambda w, _now: {77: 0.0}.get(w)
         self.assertEqual(77, choose_worker((items,), view, self.rng, 0))
         self.assertIs(None, choose_worker((items,), lambda *_: None, self.rng, 0))
 
     def test_most_loaded_worker_is_chosen_least(self):
-        # Guards against herding: one sample ignores load, a full scan picks one only.
+        """Requests must not herd on one worker.
+
+        One sample ignores the load; a full scan always picks the same worker.
+        """
         items = group(*range(10))
         counts = collections.Counter(
             choose_worker((items,), lambda w, _now: float(w), self.rng, 0)
@@ -46,6 +52,7 @@
         self.assertTrue(200 < counts[0] < 600, counts)
 
     def test_sampling_list_stays_consistent(self):
+        """A removal must not lose or duplicate the item that takes its position."""
         items, expected = SamplingList(), set()
         for _ in range(2_000):
             item = self.rng.randrange(30)
