--- a/src/cranberrywheel/version/active_configuration.py
+++ b/src/cranberrywheel/version/active_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration version in force in this process; it never goes back."""
+"""The configuration version that this process uses; versions only increase."""
 
 import threading
 import typing as t
@@ -13,9 +13,10 @@
 from cranberrywheel.version.snapshot import ConfigurationSnapshot, KeyEntry
 
 CONFIGURATION_KEY = "configuration"
-#: Withdrawn ids that the record keeps. They only tell holders of a withdrawal
-#: mark that it is stored; a withdrawn key is also absent from ``keys``.
-MAX_WITHDRAWN_IDS = 1_000
+#: Number of revoked key ids that the record keeps. They only show processes with a
+#: revocation tombstone that the revocation is stored; a revoked key is also absent
+#: from ``keys``.
+MAX_REVOKED_KEY_IDS = 1_000
 
 _log = ComponentLogger("configuration")
 
@@ -33,19 +34,19 @@
 
 
 def read_snapshot(stored: StoredRecord) -> ConfigurationSnapshot:
-    """Build a snapshot from the ``configuration`` record.
+    """Parse the ``configuration`` record into a snapshot.
 
     :param stored: the record.
-    :raises StoreError: if the body is malformed.
+    :raises StoreError: if the body is malformed or its text is invalid.
     """
     try:
         body = _ConfigurationBody.model_validate(stored.body)
         configuration = parse_configuration(body.text)
     except (pydantic.ValidationError, ConfigurationError) as error:
         raise StoreError(
-            f"The configuration at revision {stored.revision} is not usable: "
+            f"The configuration at revision {stored.revision} is invalid: "
             f"{str(error).splitlines()[0]}",
-            "Restore the record from the version shown by an entry.",
+            "Restore the record from the version that an entry process shows.",
         ) from None
     return ConfigurationSnapshot(
         version=stored.revision,
@@ -65,12 +66,16 @@
     text: str,
     text_version: int,
     keys_by_id: t.Mapping[str, KeyEntry],
-    withdrawn: t.Sequence[str],
+    revoked_key_ids: t.Sequence[str],
 ) -> dict[str, t.Any]:
     """Build the body of the ``configuration`` record.
 
-    :param withdrawn: withdrawn ids, the newest last.
-    :returns: JSON-ready content.
+    :param text: the configuration text.
+    :param text_version: number of the text, which increases with each change.
+    :param keys_by_id: granted keys.
+    :param revoked_key_ids: ids of revoked keys, the newest last; only the newest
+        ``MAX_REVOKED_KEY_IDS`` are kept.
+    :returns: JSON-serializable body.
     """
     return {
         "text": text,
@@ -79,14 +84,14 @@
             key_id: {"team": key.team, "secret_sha256": key.secret_sha256}
             for key_id, key in keys_by_id.items()
         },
-        "withdrawn": list(withdrawn)[-MAX_WITHDRAWN_IDS:],
+        "withdrawn": list(revoked_key_ids)[-MAX_REVOKED_KEY_IDS:],
     }
 
 
 class ActiveConfiguration:
-    """Holds the newest known version; usable from any thread.
+    """Holds the newest known version of the configuration; thread-safe.
 
-    :param on_adopted: called with each adopted snapshot, in order of versions.
+    :param on_adopted: called with each adopted snapshot, in the order of versions.
     """
 
     def __init__(self, on_adopted: t.Callable[[ConfigurationSnapshot], None]) -> None:
@@ -97,26 +102,26 @@
 
     @property
     def snapshot(self) -> ConfigurationSnapshot | None:
-        """The version in force, or ``None`` before the first."""
+        """The snapshot in use, or ``None`` before the first is adopted."""
         return self._snapshot
 
     @property
     def version(self) -> int:
-        """Version in force; 0 before the first."""
+        """The version in use, or 0 before the first is adopted."""
         snapshot = self._snapshot
         return snapshot.version if snapshot else 0
 
     @property
     def record(self) -> Record | None:
-        """The adopted record as stored, for peers that lack it."""
+        """The adopted record as stored, for peers with an older version."""
         return self._record
 
     def adopt(self, record: Record) -> bool:
-        """Adopt a record if its revision is higher than the one in force.
+        """Adopt a record if its revision is higher than the version in use.
 
         :param record: the ``configuration`` record from the store or a peer.
-        :returns: whether it was adopted.
-        :raises StoreError: if the record is malformed; nothing changes then.
+        :returns: whether the record was adopted.
+        :raises StoreError: if the record is malformed; the version in use stays.
         """
         if record.revision <= self.version:
             return False
@@ -124,8 +129,9 @@
         with self._lock:
             if snapshot.version <= self.version:
                 return False
-            # Under the lock, so that the receiver sees versions in order; and
-            # before others see the version and count it as proven.
+            # The callback runs under the lock, so that it receives versions in order,
+            # and before the assignment, so that no other thread takes a freshness
+            # proof from a version that the callback has not received.
             self._on_adopted(snapshot)
             self._record = record
             self._snapshot = snapshot
--- a/src/cranberrywheel/version/configuration.py
+++ b/src/cranberrywheel/version/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' text: an INI file, validated into a :class:`Configuration`."""
+"""Parses the INI configuration text into a validated :class:`Configuration`."""
 
 import configparser
 import dataclasses
@@ -18,7 +18,8 @@
     ZoneSection,
 )
 
-#: The store holds values up to a megabyte; keys and JSON quoting need room too.
+#: Largest configuration text. The store holds values up to a megabyte, which must
+#: also hold the keys and the JSON escapes.
 MAX_TEXT_BYTES = 600_000
 _NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
 _WORKER = re.compile(r"([a-z0-9][a-z0-9-]{0,62})@([a-z0-9-]+)/([a-z0-9-]+)")
@@ -28,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Worker:
-    """A worker as the operators declared it."""
+    """A worker as declared in the configuration text."""
 
     name: str
     zone: str
@@ -42,7 +43,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Pool:
-    """A pool with its declared workers; ``connections`` is per worker."""
+    """A pool with its declared workers.
+
+    :param worker_names: names of its workers.
+    :param cores: cores of each worker.
+    :param memory_mb: memory of each worker in MB.
+    :param slots_per_executor: number of tasks that each worker runs at once.
+    :param connections: largest number of connections to each worker.
+    :param spare: whether the pool supplies spare workers.
+    """
 
     name: str
     worker_names: tuple[str, ...]
@@ -55,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Service:
-    """A service; ``min_healthy`` is its availability budget in workers."""
+    """A service; ``min_healthy`` is the number of workers that must stay available."""
 
     name: str
     pool: str
@@ -65,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Queue:
-    """A queue; times in milliseconds, sizes as declared."""
+    """A queue with the declared run time and size of its requests."""
 
     name: str
     service: str
@@ -85,7 +94,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Team:
-    """A team; ``share`` is a fraction, ``limit`` counts running requests."""
+    """A team; ``share`` is a fraction of the fleet, ``limit`` a number of requests.
+
+    ``limit`` bounds the running requests of the team.
+    """
 
     name: str
     share: float
@@ -93,7 +105,7 @@
     queues: tuple[str, ...]
 
     def may_use(self, queue: str) -> bool:
-        """Tell whether the team has a right to a queue.
+        """Return whether the team may send requests to a queue.
 
         :param queue: queue name.
         """
@@ -102,7 +114,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Weights:
-    """Weights of the four measures in the planner's cost."""
+    """Weights of the four terms of the planner's cost function."""
 
     buffer_cost: float
     rollout_time: float
@@ -112,9 +124,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Configuration:
-    """One validated operators' text.
+    """A validated configuration text.
 
-    All collections are named by their key; names are unique per kind.
+    Names are unique among items of one kind.
     """
 
     name: str
@@ -137,18 +149,18 @@
         return self.pools_by_name[service.pool]
 
 
-_MODELS: dict[str, type[Section]] = {
+_SECTION_MODELS: dict[str, type[Section]] = {
     "zone": ZoneSection,
     "pool": PoolSection,
     "service": ServiceSection,
     "queue": QueueSection,
     "team": TeamSection,
 }
-Sections = dict[str, dict[str, t.Any]]
+SectionsByKind = dict[str, dict[str, t.Any]]
 
 
-class _LineIndex:
-    """Finds the line of a section or key, for error messages."""
+class _LineNumbers:
+    """Line numbers of the sections and keys of a text, for error messages."""
 
     def __init__(self, text: str) -> None:
         self._lines: dict[tuple[str, str], int] = {}
@@ -164,10 +176,10 @@
         return self._lines.get((section, key)) or self._lines.get((section, ""), 0)
 
 
-def _read_ini(text: str) -> configparser.ConfigParser:
+def _parse_ini(text: str) -> configparser.ConfigParser:
     if len(text.encode("utf-8", "replace")) > MAX_TEXT_BYTES:
         raise ConfigurationError(
-            f"The text is over {MAX_TEXT_BYTES} bytes.", "Split the deployment."
+            f"The text is longer than {MAX_TEXT_BYTES} bytes.", "Split the deployment."
         )
     parser = configparser.ConfigParser(
         interpolation=None, default_section="\x00none", empty_lines_in_values=False
@@ -176,8 +188,8 @@
         parser.read_string(text)
     except configparser.Error as error:
         line = getattr(error, "lineno", None) or 0
-        if faults := getattr(error, "errors", None):
-            line = faults[0][0]
+        if parse_errors := getattr(error, "errors", None):
+            line = parse_errors[0][0]
         raise ConfigurationError(
             type(error).__name__.removesuffix("Error") + " in the INI text.",
             "Write each section and key once, as '[kind name]' and 'key = value'.",
@@ -186,7 +198,9 @@
     return parser
 
 
-def _validate(model: type[Section], section: str, values: t.Any, index: _LineIndex):
+def _validate(
+    model: type[Section], section: str, values: t.Any, line_numbers: _LineNumbers
+):
     try:
         return model.model_validate(dict(values))
     except pydantic.ValidationError as error:
@@ -198,134 +212,168 @@
             else "Correct the value."
         )
         raise ConfigurationError(
-            f"[{section}] {key}: {first['msg']}.", remedy, index.find(section, key)
+            f"[{section}] {key}: {first['msg']}.",
+            remedy,
+            line_numbers.find(section, key),
         ) from None
 
 
-def _read_sections(
-    parser: configparser.ConfigParser, index: _LineIndex
-) -> tuple[DeploymentSection, Sections]:
-    by_kind: Sections = {kind: {} for kind in _MODELS}
+def _validate_sections(
+    parser: configparser.ConfigParser, line_numbers: _LineNumbers
+) -> tuple[DeploymentSection, SectionsByKind]:
+    sections_by_kind: SectionsByKind = {kind: {} for kind in _SECTION_MODELS}
     deployment = None
     for section in parser.sections():
         kind, _, name = " ".join(section.split()).partition(" ")
         if section == "deployment":
-            deployment = _validate(DeploymentSection, section, parser[section], index)
+            deployment = _validate(
+                DeploymentSection, section, parser[section], line_numbers
+            )
             continue
-        if kind not in _MODELS or not _NAME.fullmatch(name):
+        if kind not in _SECTION_MODELS or not _NAME.fullmatch(name):
             raise ConfigurationError(
-                f"[{section}] is no known section.",
+                f"[{section}] is not a known section.",
                 "Use [deployment], or [zone|pool|service|queue|team NAME] with a "
                 "name of lower-case letters, digits and hyphens.",
-                index.find(" ".join(section.split())),
+                line_numbers.find(" ".join(section.split())),
             )
-        if name in by_kind[kind]:
+        if name in sections_by_kind[kind]:
             raise ConfigurationError(
-                f"[{section}] is given twice.", "Keep one.", index.find(section)
+                f"[{section}] is defined twice.",
+                "Remove one of the sections.",
+                line_numbers.find(section),
             )
-        by_kind[kind][name] = _validate(_MODELS[kind], section, parser[section], index)
+        sections_by_kind[kind][name] = _validate(
+            _SECTION_MODELS[kind], section, parser[section], line_numbers
+        )
     if deployment is None:
-        raise ConfigurationError("There is no [deployment].", "Add it with a name.")
-    return deployment, by_kind
+        raise ConfigurationError(
+            "The [deployment] section is missing.", "Add it with a name."
+        )
+    return deployment, sections_by_kind
 
 
 def _check_reference(
-    by_kind: Sections, index: _LineIndex, section: str, key: str, kind: str, name: str
+    sections_by_kind: SectionsByKind,
+    line_numbers: _LineNumbers,
+    section: str,
+    key: str,
+    kind: str,
+    name: str,
 ) -> None:
-    if name not in by_kind[kind]:
+    if name not in sections_by_kind[kind]:
         raise ConfigurationError(
-            f"[{section}] {key} names the unknown {kind} {name!r}.",
+            f"[{section}] {key} refers to the unknown {kind} {name!r}.",
             f"Add [{kind} {name}] or correct the name.",
-            index.find(section, key),
+            line_numbers.find(section, key),
         )
 
 
-def _check_references(by_kind: Sections, index: _LineIndex) -> None:
-    for name, service in by_kind["service"].items():
+def _check_references(
+    sections_by_kind: SectionsByKind, line_numbers: _LineNumbers
+) -> None:
+    for name, service in sections_by_kind["service"].items():
         section = f"service {name}"
-        _check_reference(by_kind, index, section, "pool", "pool", service.pool)
+        _check_reference(
+            sections_by_kind, line_numbers, section, "pool", "pool", service.pool
+        )
         for other in service.depends_on:
-            _check_reference(by_kind, index, section, "depends_on", "service", other)
-        count = len(by_kind["pool"][service.pool].workers)
+            _check_reference(
+                sections_by_kind, line_numbers, section, "depends_on", "service", other
+            )
+        count = len(sections_by_kind["pool"][service.pool].workers)
         if service.min_healthy > count:
             raise ConfigurationError(
                 f"[{section}] min_healthy is {service.min_healthy} but its pool has "
                 f"{count} workers.",
                 "Lower it or add workers.",
-                index.find(section, "min_healthy"),
+                line_numbers.find(section, "min_healthy"),
             )
-    for name, queue in by_kind["queue"].items():
+    for name, queue in sections_by_kind["queue"].items():
         section = f"queue {name}"
-        _check_reference(by_kind, index, section, "service", "service", queue.service)
-        pool = by_kind["pool"][by_kind["service"][queue.service].pool]
+        _check_reference(
+            sections_by_kind, line_numbers, section, "service", "service", queue.service
+        )
+        pool = sections_by_kind["pool"][sections_by_kind["service"][queue.service].pool]
         for key in ("cores", "memory_mb"):
             if getattr(queue, key) > getattr(pool, key):
                 raise ConfigurationError(
-                    f"[{section}] {key} is more than a worker of its pool has, so "
-                    "its requests could never run.",
-                    "Lower it or give the service a pool of larger workers.",
-                    index.find(section, key),
+                    f"[{section}] {key} exceeds that of a worker of its pool, so its "
+                    "requests could never run.",
+                    "Lower it or assign the service to a pool of larger workers.",
+                    line_numbers.find(section, key),
                 )
-    for name, team in by_kind["team"].items():
+    for name, team in sections_by_kind["team"].items():
         for queue in team.queues:
             if queue != "*":
                 _check_reference(
-                    by_kind, index, f"team {name}", "queues", "queue", queue
+                    sections_by_kind,
+                    line_numbers,
+                    f"team {name}",
+                    "queues",
+                    "queue",
+                    queue,
                 )
 
 
-def _check_cycles(services: dict[str, ServiceSection], index: _LineIndex) -> None:
-    done: set[str] = set()
+def _check_cycles(
+    services: dict[str, ServiceSection], line_numbers: _LineNumbers
+) -> None:
+    visited: set[str] = set()
     for start in services:
         stack = [(start, iter(services[start].depends_on))]
         path = {start: None}
-        while stack and start not in done:
+        while stack and start not in visited:
             name, children = stack[-1]
-            child = next((c for c in children if c not in done), None)
+            child = next((other for other in children if other not in visited), None)
             if child is None:
                 stack.pop()
                 path.pop(name, None)
-                done.add(name)
+                visited.add(name)
             elif child in path:
                 names = list(path)
                 cycle = " -> ".join([*names[names.index(child) :], child])
                 raise ConfigurationError(
                     f"Services depend on each other in a cycle: {cycle}.",
                     "Remove one of these dependencies.",
-                    index.find(f"service {name}", "depends_on"),
+                    line_numbers.find(f"service {name}", "depends_on"),
                 )
             else:
                 path[child] = None
                 stack.append((child, iter(services[child].depends_on)))
 
 
-def _check_shares(teams: dict[str, TeamSection], index: _LineIndex) -> None:
+def _check_shares(teams: dict[str, TeamSection], line_numbers: _LineNumbers) -> None:
     total = 0.0
     for name, team in teams.items():
         total += team.share
         if total > 1 + 1e-9:
             raise ConfigurationError(
-                f"The shares add up to {total:g}, more than the whole fleet.",
+                f"The shares add up to {total:g}, which exceeds the whole fleet.",
                 "Lower shares until they add up to 1 or less.",
-                index.find(f"team {name}", "share"),
+                line_numbers.find(f"team {name}", "share"),
             )
 
 
-def _build_workers(by_kind: Sections, index: _LineIndex) -> dict[str, Worker]:
+def _build_workers(
+    sections_by_kind: SectionsByKind, line_numbers: _LineNumbers
+) -> dict[str, Worker]:
     workers: dict[str, Worker] = {}
-    for pool_name, pool in by_kind["pool"].items():
+    for pool_name, pool in sections_by_kind["pool"].items():
         section = f"pool {pool_name}"
         for item in pool.workers:
             match = _WORKER.fullmatch(item)
-            line = index.find(section, "workers")
+            line = line_numbers.find(section, "workers")
             if match is None:
                 raise ConfigurationError(
-                    f"[{section}] {item!r} is no worker.",
+                    f"[{section}] {item!r} is not a worker.",
                     "Write workers as name@zone/rack.",
                     line,
                 )
             name, zone, rack = match.groups()
-            _check_reference(by_kind, index, section, "workers", "zone", zone)
+            _check_reference(
+                sections_by_kind, line_numbers, section, "workers", "zone", zone
+            )
             if name in workers:
                 raise ConfigurationError(
                     f"Worker {name!r} is in pool {workers[name].pool!r} and in "
@@ -364,17 +412,17 @@
 
 
 def parse_configuration(text: str) -> Configuration:
-    """Validate an operators' text.
+    """Parse and validate a configuration text.
 
-    :param text: the INI text; see docs/operating.md for its sections.
-    :returns: the configuration, every name in it resolved.
-    :raises ConfigurationError: with line, cause and remedy, at the first fault.
+    :param text: the INI text; docs/operating.md describes its sections.
+    :returns: the configuration; every name in it refers to a defined item.
+    :raises ConfigurationError: at the first error, with line, cause and remedy.
     """
-    index = _LineIndex(text)
-    deployment, by_kind = _read_sections(_read_ini(text), index)
-    _check_references(by_kind, index)
-    _check_cycles(by_kind["service"], index)
-    _check_shares(by_kind["team"], index)
+    line_numbers = _LineNumbers(text)
+    deployment, sections_by_kind = _validate_sections(_parse_ini(text), line_numbers)
+    _check_references(sections_by_kind, line_numbers)
+    _check_cycles(sections_by_kind["service"], line_numbers)
+    _check_shares(sections_by_kind["team"], line_numbers)
     return Configuration(
         name=deployment.name,
         weights=Weights(
@@ -385,14 +433,24 @@
         ),
         maintenance_period_hours=deployment.maintenance_period_hours,
         reboot_minutes=deployment.reboot_minutes,
-        regions_by_zone={n: z.region for n, z in by_kind["zone"].items()},
-        workers_by_name=_build_workers(by_kind, index),
-        pools_by_name={n: _build_pool(n, p) for n, p in by_kind["pool"].items()},
+        regions_by_zone={
+            name: zone.region for name, zone in sections_by_kind["zone"].items()
+        },
+        workers_by_name=_build_workers(sections_by_kind, line_numbers),
+        pools_by_name={
+            name: _build_pool(name, pool)
+            for name, pool in sections_by_kind["pool"].items()
+        },
         services_by_name={
-            n: Service(name=n, **s.model_dump()) for n, s in by_kind["service"].items()
+            name: Service(name=name, **service.model_dump())
+            for name, service in sections_by_kind["service"].items()
+        },
+        queues_by_name={
+            name: _build_queue(name, queue)
+            for name, queue in sections_by_kind["queue"].items()
         },
-        queues_by_name={n: _build_queue(n, q) for n, q in by_kind["queue"].items()},
         teams_by_name={
-            n: Team(name=n, **m.model_dump()) for n, m in by_kind["team"].items()
+            name: Team(name=name, **team.model_dump())
+            for name, team in sections_by_kind["team"].items()
         },
     )
--- a/src/cranberrywheel/version/configuration_sections.py
+++ b/src/cranberrywheel/version/configuration_sections.py
@@ -1,19 +1,21 @@
-"""Sections of the operators' text, validated at the border."""
+"""Pydantic models of the sections of the configuration text."""
 
 import typing as t
 
 import pydantic
 
-Words = t.Annotated[
+CommaSeparatedNames = t.Annotated[
     tuple[str, ...],
     pydantic.BeforeValidator(
-        lambda text: tuple(w.strip() for w in str(text).split(",") if w.strip())
+        lambda text: tuple(
+            name.strip() for name in str(text).split(",") if name.strip()
+        )
     ),
 ]
 
 
 class Section(pydantic.BaseModel):
-    """Base of all sections; unknown keys are refused."""
+    """Base of all sections; rejects unknown keys."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
@@ -39,7 +41,7 @@
 class PoolSection(Section):
     """``[pool NAME]``: workers as ``name@zone/rack`` and their declared size."""
 
-    workers: Words
+    workers: CommaSeparatedNames
     cores: float = pydantic.Field(gt=0, le=100_000)
     memory_mb: int = pydantic.Field(gt=0, le=1_000_000_000)
     accelerators: int = pydantic.Field(0, ge=0, le=1000)
@@ -49,15 +51,15 @@
 
 
 class ServiceSection(Section):
-    """``[service NAME]``: its pool, dependencies and availability budget."""
+    """``[service NAME]``: its pool, dependencies and availability requirement."""
 
     pool: str
-    depends_on: Words = ()
+    depends_on: CommaSeparatedNames = ()
     min_healthy: int = pydantic.Field(ge=0, le=1_000_000)
 
 
 class QueueSection(Section):
-    """``[queue NAME]``: how requests of this kind are treated."""
+    """``[queue NAME]``: access, run time, size and limits of its requests."""
 
     service: str
     access: t.Literal["keyed", "open"] = "keyed"
@@ -75,8 +77,8 @@
 
 
 class TeamSection(Section):
-    """``[team NAME]``: share of the full fleet, upper limit and rights."""
+    """``[team NAME]``: its share of the fleet, upper limit and permitted queues."""
 
     share: float = pydantic.Field(ge=0, le=1)
     limit: int = pydantic.Field(ge=0, le=1_000_000)
-    queues: Words = ("*",)
+    queues: CommaSeparatedNames = ("*",)
--- a/src/cranberrywheel/version/differences.py
+++ b/src/cranberrywheel/version/differences.py
@@ -1,11 +1,11 @@
-"""Readable differences between two configurations."""
+"""Describes the differences between two configurations."""
 
 import dataclasses
 import typing as t
 
 from cranberrywheel.version.configuration import Configuration
 
-_KINDS = (
+_COLLECTIONS = (
     ("zone", "regions_by_zone"),
     ("pool", "pools_by_name"),
     ("worker", "workers_by_name"),
@@ -15,41 +15,42 @@
 )
 
 
-def _fields(value: t.Any) -> dict[str, t.Any]:
+def _list_fields(value: t.Any) -> dict[str, t.Any]:
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         return {f.name: getattr(value, f.name) for f in dataclasses.fields(value)}
     return {"value": value}
 
 
-def _show(value: t.Any) -> str:
+def _format_value(value: t.Any) -> str:
     if isinstance(value, tuple):
         return ", ".join(map(str, value)) or "(none)"
     return "(empty)" if value == "" else str(value)
 
 
-def _changes(label: str, old: t.Any, new: t.Any) -> list[str]:
-    before, after = _fields(old), _fields(new)
+def _describe_changes(label: str, old: t.Any, new: t.Any) -> list[str]:
+    before, after = _list_fields(old), _list_fields(new)
     return [
-        f"{label}: {name} changed from {_show(before[name])} to {_show(after[name])}"
+        f"{label}: {name} changed from {_format_value(before[name])} "
+        f"to {_format_value(after[name])}"
         for name in before
         if before[name] != after[name]
     ]
 
 
 def list_differences(old: Configuration, new: Configuration) -> list[str]:
-    """List what changes from one configuration to another.
+    """List the differences between two configurations.
 
-    :param old: the configuration before.
-    :param new: the configuration after.
-    :returns: one sentence for each added, removed or changed item.
+    :param old: the configuration before the change.
+    :param new: the configuration after the change.
+    :returns: one line for each added or removed item and for each changed value.
     """
     lines = []
     for name in ("name", "maintenance_period_hours", "reboot_minutes"):
         before, after = getattr(old, name), getattr(new, name)
         if before != after:
             lines.append(f"deployment: {name} changed from {before} to {after}")
-    lines += _changes("weights", old.weights, new.weights)
-    for kind, attribute in _KINDS:
+    lines += _describe_changes("weights", old.weights, new.weights)
+    for kind, attribute in _COLLECTIONS:
         before, after = getattr(old, attribute), getattr(new, attribute)
         for name in sorted(before.keys() | after.keys()):
             label = f"{kind} {name}"
@@ -58,5 +59,5 @@
             elif name not in before:
                 lines.append(f"{label}: added")
             else:
-                lines += _changes(label, before[name], after[name])
+                lines += _describe_changes(label, before[name], after[name])
     return lines
--- a/src/cranberrywheel/version/keys.py
+++ b/src/cranberrywheel/version/keys.py
@@ -1,4 +1,4 @@
-"""Team keys: creation, hashing and checking in constant time."""
+"""Team keys: creation, hashing and authentication."""
 
 import collections.abc
 import hashlib
@@ -15,10 +15,11 @@
 def hash_secret(secret: str) -> str:
     """Hash the secret part of a key.
 
-    The secret is random and long, so a plain hash cannot be searched.
+    A hash without salt and stretching is sufficient, because the secret is random and
+    too long for an exhaustive search.
 
-    :param secret: the part after the dot.
-    :returns: hexadecimal SHA-256.
+    :param secret: the part of the key after the dot.
+    :returns: hexadecimal SHA-256 digest.
     """
     return hashlib.sha256(secret.encode()).hexdigest()
 
@@ -27,7 +28,8 @@
     """Create a key for a team.
 
     :param team: name of the team.
-    :returns: the whole key ``<key id>.<secret>``, to be shown once, and its entry.
+    :returns: the complete key ``<key id>.<secret>``, which must be shown only once,
+        and its entry.
     """
     key_id = secrets.token_hex(KEY_ID_BYTES)
     secret = secrets.token_urlsafe(SECRET_BYTES)
@@ -41,11 +43,13 @@
 ) -> KeyEntry:
     """Check the ``Authorization`` header of a request.
 
+    The secret is compared in constant time.
+
     :param authorization: value of the header, or ``""``.
     :param keys_by_id: granted keys.
-    :param withdrawn_ids: keys that must not be used, also if granted.
+    :param revoked_key_ids: ids of keys that are rejected even if granted.
     :returns: the entry of the key.
-    :raises UnauthorizedError: if the key is missing, wrong or withdrawn.
+    :raises UnauthorizedError: if the key is missing, wrong or revoked.
     """
     scheme, _, key = authorization.partition(" ")
     key_id, dot, secret = key.strip().partition(".")
--- a/src/cranberrywheel/version/records.py
+++ b/src/cranberrywheel/version/records.py
@@ -1,4 +1,4 @@
-"""Envelope of the records in the store, and reading back a lost answer."""
+"""The envelope of records in the store, and resolution of writes without an answer."""
 
 import dataclasses
 import enum
@@ -11,8 +11,8 @@
 from cranberrywheel.connection.store_client import Record
 from cranberrywheel.errors import StoreError
 
-#: Writes that a record remembers. A writer that resolves its lost answer within
-#: that many writes of others learns whether its own took effect.
+#: Number of earlier writes whose ids a record keeps. A writer whose answer was lost
+#: can tell whether its write took effect until that many other writes have followed.
 RECENT_WRITE_IDS = 16
 
 
@@ -27,13 +27,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoredRecord:
-    """A record of the store with its envelope.
+    """A record of the store with its parsed envelope.
 
-    :param record: as stored.
-    :param write_id: identifies the write that made this state.
+    :param record: the record as stored.
+    :param write_id: id of the write that created this revision.
     :param writer: process id of the writer.
-    :param recent_write_ids: earlier writes, the newest first.
-    :param body: JSON-ready content.
+    :param recent_write_ids: ids of earlier writes, the newest first.
+    :param body: JSON-serializable body.
     """
 
     record: Record
@@ -49,7 +49,7 @@
 
     @property
     def revision(self) -> int:
-        """Store revision of this state."""
+        """Revision in the store."""
         return self.record.revision
 
 
@@ -57,9 +57,11 @@
 class PreparedWrite:
     """A write that can be sent again unchanged until its outcome is known.
 
+    :param key: key in the store.
     :param expected_revision: revision that the compare-and-swap expects.
     :param base_write_id: write id of that revision, or ``""`` for a new record.
-    :param value: the whole JSON text.
+    :param write_id: id of this write.
+    :param value: the complete JSON text.
     """
 
     key: str
@@ -70,23 +72,23 @@
 
 
 class WriteOutcome(enum.Enum):
-    """What a later read tells about a write whose answer was lost."""
+    """What a later read shows about a write whose answer was lost."""
 
     WRITTEN = "written"
-    #: Another write came first, so the compare-and-swap can no longer succeed.
+    #: Another write took effect first, so the compare-and-swap cannot succeed any more.
     NOT_WRITTEN = "not-written"
-    #: The record is unchanged. The lost call may still reach the store, so the
-    #: same write has to be sent again before its outcome counts as known.
+    #: The record is unchanged. The call may still reach the store, so the same write
+    #: has to be sent again until its outcome is known.
     PENDING = "pending"
-    #: Too many writes followed to tell.
+    #: Too many other writes followed to decide.
     UNKNOWN = "unknown"
 
 
 def parse_record(record: Record) -> StoredRecord:
-    """Read the envelope of a record.
+    """Parse the envelope of a record.
 
-    :param record: as read from the store.
-    :raises StoreError: if the value is not an envelope.
+    :param record: the record as read from the store.
+    :raises StoreError: if the value is not a valid envelope.
     """
     try:
         envelope = _Envelope.model_validate_json(record.value)
@@ -109,12 +111,13 @@
 def prepare_write(
     key: str, base: StoredRecord | None, writer: str, body: dict[str, t.Any]
 ) -> PreparedWrite:
-    """Build a write that follows a known state of the record.
+    """Build a write that replaces a known revision of a record.
 
     :param key: key in the store.
-    :param base: the state that the body was derived from; ``None`` for a new record.
+    :param base: the revision from which the body was derived; ``None`` for a new
+        record.
     :param writer: process id of the writer.
-    :param body: JSON-ready content.
+    :param body: JSON-serializable body.
     """
     write_id = uuid.uuid4().hex
     recent = (base.write_id, *base.recent_write_ids) if base else ()
@@ -139,10 +142,10 @@
 def resolve_lost_write(
     write: PreparedWrite, current: StoredRecord | None
 ) -> WriteOutcome:
-    """Tell whether a write took effect, from the record read afterwards.
+    """Decide whether a write took effect, from the record read afterwards.
 
     :param write: the write whose answer was lost.
-    :param current: the record as read after that; ``None`` if there is none.
+    :param current: the record read after the write was sent; ``None`` if there is none.
     """
     if current is None:
         if write.expected_revision == 0:
@@ -152,8 +155,8 @@
         return WriteOutcome.WRITTEN
     if current.revision <= write.expected_revision:
         return WriteOutcome.PENDING
-    # The ids cover every write since the base if the base itself is among them.
-    # A record that was new has no base: then the list must not be full.
+    # The list covers every write since the base revision if it contains the write id
+    # of the base. A new record has no base; then the list must not be full.
     if write.base_write_id:
         covered = write.base_write_id in current.recent_write_ids
     else:
--- a/src/cranberrywheel/version/snapshot.py
+++ b/src/cranberrywheel/version/snapshot.py
@@ -1,4 +1,4 @@
-"""One version of the configuration record, as all parts of a process use it."""
+"""Immutable snapshot of one version of the configuration record."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class KeyEntry:
-    """A team key as stored: only the hash of its secret."""
+    """A team key as stored, with the hash of its secret instead of the secret."""
 
     key_id: str
     team: str
@@ -19,11 +19,11 @@
     """One version of the configuration record.
 
     :param version: store revision of the record.
-    :param text_version: counter of text changes.
-    :param text: the operators' text.
+    :param text_version: number of the text, which increases with each change.
+    :param text: the configuration text.
     :param configuration: the parsed text.
-    :param keys_by_id: granted keys; withdrawn ones are absent.
-    :param withdrawn_ids: ids of withdrawn keys.
+    :param keys_by_id: granted keys without the revoked ones.
+    :param revoked_key_ids: ids of revoked keys.
     """
 
     version: int
--- a/tests/test_active_configuration.py
+++ b/tests/test_active_configuration.py
@@ -13,13 +13,13 @@
 from cranberrywheel.version.records import prepare_write
 
 
-def record(revision, text=TEXT, keys=(), withdrawn=()):
-    body = build_configuration_body(text, 1, {k.key_id: k for k in keys}, withdrawn)
+def record(revision, text=TEXT, keys=(), revoked=()):
+    body = build_configuration_body(text, 1, {k.key_id: k for k in keys}, revoked)
     value = prepare_write("configuration", None, "e1", body).value
     return Record("configuration", value, revision)
 
 
-class AdoptionTest(testtools.TestCase):
+class ActiveConfigurationTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.versions = []
@@ -33,38 +33,38 @@
         self.assertEqual(7, self.holder.record.revision)
 
     def test_malformed_record_changes_nothing(self):
-        """A bad record must not take the version in force away."""
+        """A malformed record must not remove the version in use."""
         self.holder.adopt(record(3))
         bad_text = record(4, "no text")
         self.assertRaises(StoreError, self.holder.adopt, bad_text)
         self.assertRaises(StoreError, self.holder.adopt, Record("c", "{}", 5))
         self.assertEqual(3, self.holder.version)
 
-    def test_withdrawn_key_is_not_granted(self):
-        """A key in both lists must count as withdrawn."""
+    def test_revoked_key_is_not_granted(self):
+        """A key in both lists must count as revoked."""
         key, entry = create_key("t")
         other, other_entry = create_key("t")
-        stored = record(1, keys=(entry, other_entry), withdrawn=(entry.key_id,))
+        stored = record(1, keys=(entry, other_entry), revoked=(entry.key_id,))
         self.holder.adopt(stored)
         snapshot = self.holder.snapshot
         self.assertEqual({other_entry.key_id}, set(snapshot.keys_by_id))
 
-        def check(header, withdrawn=()):
-            return authenticate(header, snapshot.keys_by_id, withdrawn)
+        def check(header, revoked=()):
+            return authenticate(header, snapshot.keys_by_id, revoked)
 
         self.assertEqual("t", check(f"Bearer {other}").team)
-        marked = {other_entry.key_id}
-        self.assertRaises(UnauthorizedError, check, f"Bearer {other}", marked)
+        revoked_ids = {other_entry.key_id}
+        self.assertRaises(UnauthorizedError, check, f"Bearer {other}", revoked_ids)
         for header in ("", other, f"Bearer {key}", f"Bearer {other}x", "Bearer ."):
             self.assertRaises(UnauthorizedError, check, header)
 
     def test_stored_record_has_no_secret(self):
-        """Whoever reads the store must not learn usable keys."""
+        """Read access to the store must not reveal usable keys."""
         key, entry = create_key("t")
         self.assertNotIn(key.split(".")[1], record(1, keys=(entry,)).value)
 
     def test_differences_name_what_changed(self):
-        """An operator who lost a race needs them to merge."""
+        """An incomplete list would mislead an operator after a version conflict."""
         old = parse_configuration(TEXT)
         text = TEXT.replace("limit = 12", "limit = 9").replace(", w2@z1/r1", "")
         lines = list_differences(old, parse_configuration(text + "[zone z3]\n"))
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -16,28 +16,28 @@
 class RecordsTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.base = self.follow(None, 1)
+        self.base = self.write_after(None, 1)
 
-    def follow(self, base, revision):
+    def write_after(self, base, revision):
         write = prepare_write("limits/t", base, "e1", {"n": revision})
         return parse_record(Record("limits/t", write.value, revision))
 
     def test_write_is_found_after_later_writes(self):
-        """A writer must not repeat a write that others already built upon."""
+        """A writer must not repeat a write that later writes are based on."""
         write = prepare_write("limits/t", self.base, "e1", {})
         current = parse_record(Record("limits/t", write.value, 2))
         for revision in range(3, 3 + RECENT_WRITE_IDS):
             self.assertIs(WriteOutcome.WRITTEN, resolve_lost_write(write, current))
-            current = self.follow(current, revision)
+            current = self.write_after(current, revision)
 
     def test_outcome_after_writes_of_others(self):
-        """After too many writes 'not written' would be a guess."""
+        """'Not written' must be reported only while the list of ids proves it."""
         write = prepare_write("limits/t", self.base, "e1", {})
         current = self.base
         for revision in range(2, 2 + RECENT_WRITE_IDS):
-            current = self.follow(current, revision)
+            current = self.write_after(current, revision)
             self.assertIs(WriteOutcome.NOT_WRITTEN, resolve_lost_write(write, current))
-        current = self.follow(current, 50)
+        current = self.write_after(current, 50)
         self.assertIs(WriteOutcome.UNKNOWN, resolve_lost_write(write, current))
 
     def test_unchanged_record_leaves_the_outcome_open(self):
@@ -50,7 +50,7 @@
         self.assertIs(WriteOutcome.UNKNOWN, resolve_lost_write(write, None))
 
     def test_malformed_values_are_refused(self):
-        """A value of another program must not be taken for a record."""
+        """A value written by another program must not be taken for a record."""
         good = json.loads(self.base.record.value)
         for bad in ("", "[]", "{}", json.dumps({**good, "body": 1}), "\ud800"):
             error = self.assertRaises(StoreError, parse_record, Record("k", bad, 7))
