--- a/src/cranberrywheel/request/ticket.py
+++ b/src/cranberrywheel/request/ticket.py
@@ -327,7 +327,7 @@
         )
         if imported_count + len(answers) > self._settings.max_tickets:
             raise OverloadedError(
-                f"The ticket results of {process_id} exceed max_tickets.",
+                f"The ticket results of {process_id} would exceed max_tickets.",
                 "Hand over to another peer.",
             )
         self._imported_by_process[process_id] = _ImportedResults(
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -19,9 +19,9 @@
             queue.push(item)
         return queue
 
-    def pop_ids(self, queue, shares, use, may_start=always, now_ms=0):
+    def pop_ids(self, queue, shares, usage, may_start=always, now_ms=0):
         ids = []
-        while found := queue.pop(now_ms, shares, use, may_start):
+        while found := queue.pop(now_ms, shares, usage, may_start):
             ids.append(found.request_id)
         return ids
 
@@ -166,8 +166,8 @@
                     continue
             if len(running) == slots:
                 running.popleft()
-            use = collections.Counter(running)
-            if found := queue.pop(step, shares, use, always):
+            usage = collections.Counter(running)
+            if found := queue.pop(step, shares, usage, always):
                 running.append(found.team)
                 served[found.team] += 1
             queue.take_expired(step)
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -55,7 +55,7 @@
         self.assertIsNone(connection.sock)
 
     def test_bad_content_length_is_refused(self):
-        """A request of unknown length must be rejected, not end the connection."""
+        """An invalid Content-Length must be answered with status 400."""
         server = self.start()
         with socket.create_connection(("127.0.0.1", server.server_port)) as sock:
             sock.settimeout(WAIT_S)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,7 +7,7 @@
 from cranberrywheel.request.routing import SamplingList, choose_worker
 
 
-def group(*items):
+def make_list(*items):
     found = SamplingList()
     for item in items:
         found.add(item)
@@ -21,21 +21,24 @@
 
     def test_local_zone_is_preferred_to_other_zones(self):
         """A less loaded remote worker must not draw requests out of the zone."""
-        view = lambda w, _now: {"near": 0.9, "far": 0.0}[w]
-        for near, expected in ((group("near"), "near"), (group(), "far")):
-            groups = (near, group("far"))
-            self.assertEqual(expected, choose_worker(groups, view, self.rng, 0))
+        get_load = lambda worker, _now: {"near": 0.9, "far": 0.0}[worker]
+        for near, expected in ((make_list("near"), "near"), (make_list(), "far")):
+            groups = (near, make_list("far"))
+            self.assertEqual(expected, choose_worker(groups, get_load, self.rng, 0))
 
     def test_unusable_group_is_skipped(self):
         """A local zone without usable workers must not block requests."""
-        groups, view = (group(*"abc"), group("d")), lambda w, _: {"d": 0.0}.get(w)
-        self.assertEqual("d", choose_worker(groups, view, self.rng, 0))
+        groups, get_load = (
+            (make_list(*"abc"), make_list("d")),
+            lambda worker, _now: {"d": 0.0}.get(worker),
+        )
+        self.assertEqual("d", choose_worker(groups, get_load, self.rng, 0))
 
     def test_single_usable_worker_among_many_is_found(self):
         """Random draws alone would miss the only worker that can take a request."""
-        items = group(*range(100))
-        view = lambda w, _now: {77: 0.0}.get(w)
-        self.assertEqual(77, choose_worker((items,), view, self.rng, 0))
+        items = make_list(*range(100))
+        get_load = lambda worker, _now: {77: 0.0}.get(worker)
+        self.assertEqual(77, choose_worker((items,), get_load, self.rng, 0))
         self.assertIs(None, choose_worker((items,), lambda *_: None, self.rng, 0))
 
     def test_most_loaded_worker_is_chosen_least(self):
@@ -43,9 +46,9 @@
 
         One sample ignores the load; a full scan always picks the same worker.
         """
-        items = group(*range(10))
+        items = make_list(*range(10))
         counts = collections.Counter(
-            choose_worker((items,), lambda w, _now: float(w), self.rng, 0)
+            choose_worker((items,), lambda worker, _now: float(worker), self.rng, 0)
             for _ in range(2_000)
         )
         self.assertTrue(counts[9] < 60, counts)
