--- a/src/cranberrywheel/connection/store_client.py
+++ b/src/cranberrywheel/connection/store_client.py
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class InstanceList:
-    """The instance list; ``age_ms`` is its age in milliseconds when it was read."""
+    """The instance list; ``age_ms`` is how far it lags behind, in milliseconds."""
 
     revision: int
     age_ms: int
--- a/src/cranberrywheel/connection/target_client.py
+++ b/src/cranberrywheel/connection/target_client.py
@@ -344,7 +344,7 @@
             if nothing_started
             else AttemptOutcome.NO_USABLE_ANSWER
         )
-        detail = f"the worker refused the start as {kind or 'unknown'}"
+        detail = f"the worker refused to start the task: {kind or 'unknown'}"
     elif transfer.headers.get("task-id") != message.task_id:
         outcome = AttemptOutcome.NO_USABLE_ANSWER
         detail = "the answer belongs to another task"
--- a/tests/test_active_configuration.py
+++ b/tests/test_active_configuration.py
@@ -13,8 +13,8 @@
 from cranberrywheel.version.records import prepare_write
 
 
-def record(revision, text=TEXT, keys=(), revoked=()):
-    body = build_configuration_body(text, 1, {k.key_id: k for k in keys}, revoked)
+def make_record(revision, text=TEXT, keys=(), revoked=()):
+    body = build_configuration_body(text, 1, {key.key_id: key for key in keys}, revoked)
     value = prepare_write("configuration", None, "e1", body).value
     return Record("configuration", value, revision)
 
@@ -23,30 +23,34 @@
     def setUp(self):
         super().setUp()
         self.versions = []
-        self.holder = ActiveConfiguration(lambda s: self.versions.append(s.version))
+        self.active = ActiveConfiguration(
+            lambda snapshot: self.versions.append(snapshot.version)
+        )
 
     def test_versions_never_go_back(self):
         """A record that a peer sent late must not undo a newer version."""
-        adopted = [self.holder.adopt(record(r)) for r in (3, 2, 3, 7, 5)]
+        adopted = [
+            self.active.adopt(make_record(revision)) for revision in (3, 2, 3, 7, 5)
+        ]
         self.assertEqual([True, False, False, True, False], adopted)
         self.assertEqual([3, 7], self.versions)
-        self.assertEqual(7, self.holder.record.revision)
+        self.assertEqual(7, self.active.record.revision)
 
     def test_malformed_record_changes_nothing(self):
         """A malformed record must not remove the version in use."""
-        self.holder.adopt(record(3))
-        bad_text = record(4, "no text")
-        self.assertRaises(StoreError, self.holder.adopt, bad_text)
-        self.assertRaises(StoreError, self.holder.adopt, Record("c", "{}", 5))
-        self.assertEqual(3, self.holder.version)
+        self.active.adopt(make_record(3))
+        bad_text = make_record(4, "no text")
+        self.assertRaises(StoreError, self.active.adopt, bad_text)
+        self.assertRaises(StoreError, self.active.adopt, Record("c", "{}", 5))
+        self.assertEqual(3, self.active.version)
 
     def test_revoked_key_is_not_granted(self):
         """A key in both lists must count as revoked."""
         key, entry = create_key("t")
         other, other_entry = create_key("t")
-        stored = record(1, keys=(entry, other_entry), revoked=(entry.key_id,))
-        self.holder.adopt(stored)
-        snapshot = self.holder.snapshot
+        stored = make_record(1, keys=(entry, other_entry), revoked=(entry.key_id,))
+        self.active.adopt(stored)
+        snapshot = self.active.snapshot
         self.assertEqual({other_entry.key_id}, set(snapshot.keys_by_id))
 
         def check(header, revoked=()):
@@ -61,7 +65,7 @@
     def test_stored_record_has_no_secret(self):
         """Read access to the store must not reveal usable keys."""
         key, entry = create_key("t")
-        self.assertNotIn(key.split(".")[1], record(1, keys=(entry,)).value)
+        self.assertNotIn(key.split(".")[1], make_record(1, keys=(entry,)).value)
 
     def test_differences_name_what_changed(self):
         """An incomplete list would mislead an operator after a version conflict."""
