--- a/src/cranberrywheel/submission/handover.py
+++ b/src/cranberrywheel/submission/handover.py
@@ -1,4 +1,8 @@
-"""What a leader that stops leaves to the next one."""
+"""Handover of tracked runs and unstored progress from a leader to its successor.
+
+A leader that stops in good order stores a handover record. With it, the successor
+need not wait until every lease of its predecessor has expired.
+"""
 
 import dataclasses
 import json
@@ -9,85 +13,91 @@
 from cranberrywheel.submission.record import Progress
 from cranberrywheel.submission.state import SchedulerState
 
-#: Fence of an account that no leader may use.
+#: Fence of a handover record that no leader may use.
 NO_FENCE = 0
 
 _log = ComponentLogger("leader")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HandedRun:
-    """A run that a leader hands over.
+class HandedOverRun:
+    """A run in a handover record. The record holds the fields by position.
 
-    :param lapse_ms: time until its lease has certainly ended.
+    :param expires_in_ms: time until its lease has expired on any clock, in
+        milliseconds.
     """
 
     task: str
     number: int
     executor_id: str
-    lapse_ms: int
+    expires_in_ms: int
 
 
 @dataclasses.dataclass(frozen=True)
-class Account:
-    """What a leader leaves to the next one.
-
-    :param fence: fence of the leader that wrote it.
-    :param progress_by_id: progress that was not stored yet.
-    :param unseen_ms: time for which an executor that the leader never reached may run
-        something of its predecessors.
-    :param held_back: submissions whose tasks may run there.
+class HandoverRecord:
+    """State that a leader hands over to its successor.
+
+    :param fence: fence of the leader that wrote the record; a successor of any other
+        leader must not use it.
+    :param runs: runs that may be on executors.
+    :param progress_by_id: progress that was not stored yet, by submission id.
+    :param unpolled_ms: for each executor that never answered a poll of the leader,
+        the time for which it may run tasks of earlier leaders, in milliseconds.
+    :param held_back: ids of the submissions whose tasks may run on those executors.
     :param trusts_records: whether stored records name every step that began.
     """
 
     fence: int
-    runs: list[HandedRun]
+    runs: list[HandedOverRun]
     progress_by_id: dict[str, Progress]
-    unseen_ms: dict[str, int] = dataclasses.field(default_factory=dict)
+    unpolled_ms: dict[str, int] = dataclasses.field(default_factory=dict)
     held_back: list[str] = dataclasses.field(default_factory=list)
     trusts_records: bool = True
 
 
-EMPTY_ACCOUNT = Account(NO_FENCE, [], {})
+EMPTY_HANDOVER_RECORD = HandoverRecord(NO_FENCE, [], {})
 
 
-def write_account(state: SchedulerState, is_complete: bool, now_ms: int) -> Account:
-    """Account for every run that may be at an executor, and for what is not stored.
+def build_handover_record(
+    state: SchedulerState, is_complete: bool, now_ms: int
+) -> HandoverRecord:
+    """Collect every run that may be on an executor and all progress not yet stored.
 
-    :param is_complete: whether everything stored was loaded before.
+    :param is_complete: whether the leader had loaded all stored records; otherwise the
+        record gets :data:`NO_FENCE`, since it may lack runs.
     """
-    unseen_ms = {
-        executor.id: executor.lapse_ms - now_ms
+    unpolled_ms = {
+        executor.id: executor.lease_expiry_ms - now_ms
         for executor in state.executors_by_id.values()
-        if not executor.fenced and executor.lapse_ms > now_ms
+        if not executor.fence_confirmed and executor.lease_expiry_ms > now_ms
     }
-    return Account(
+    return HandoverRecord(
         state.fence if is_complete else NO_FENCE,
         [
-            HandedRun(
+            HandedOverRun(
                 run.task.name,
                 run.number,
                 executor.id,
-                max(0, executor.lapse_ms - now_ms),
+                max(0, executor.lease_expiry_ms - now_ms),
             )
             for executor in state.executors_by_id.values()
             for run in executor.runs.values()
         ],
         {
-            live.submission.id: live.progress()
+            live.submission.id: live.build_progress()
             for live in state.live_by_id.values()
             if live.stored_version < live.version and not live.cancelled
         },
-        unseen_ms,
-        _held_back(state, unseen_ms),
+        unpolled_ms,
+        _find_held_back(state, unpolled_ms),
         state.trusts_records,
     )
 
 
-def _held_back(state: SchedulerState, unseen: t.Iterable[str]) -> list[str]:
-    """Return the submissions whose tasks may run at unseen executors."""
+def _find_held_back(state: SchedulerState, unpolled_ids: t.Iterable[str]) -> list[str]:
+    """Return ids of submissions whose tasks may run on executors without a poll."""
     services = {
-        state.executors_by_id[executor_id].entry.service for executor_id in unseen
+        state.executors_by_id[executor_id].entry.service for executor_id in unpolled_ids
     }
     return [
         live.submission.id
@@ -96,66 +106,85 @@
     ]
 
 
-def begin_from(state: SchedulerState, account: Account, now_ms: int) -> None:
-    """Note which executors need no wait, before anything is loaded."""
+def prepare_takeover(
+    state: SchedulerState, record: HandoverRecord, now_ms: int
+) -> None:
+    """Record which executors may run unknown tasks, before the state is loaded.
+
+    Only these executors and the held-back submissions have to wait for leases.
+    """
     state.handed_over = True
-    state.held_back_ids = set(account.held_back)
-    state.trusts_records = state.trusts_records and account.trusts_records
-    state.unseen_until_ms = {
-        executor_id: now_ms + rest_ms
-        for executor_id, rest_ms in account.unseen_ms.items()
+    state.held_back_ids = set(record.held_back)
+    state.trusts_records = state.trusts_records and record.trusts_records
+    state.unpolled_until_ms = {
+        executor_id: now_ms + remaining_ms
+        for executor_id, remaining_ms in record.unpolled_ms.items()
     }
 
 
-def take_over(state: SchedulerState, account: Account, now_ms: int) -> None:
-    """Apply an account to the loaded submissions; looks bring it up to date."""
-    for submission_id, progress in account.progress_by_id.items():
+def apply_handover_record(
+    state: SchedulerState, record: HandoverRecord, now_ms: int
+) -> None:
+    """Apply a handover record to the loaded submissions.
+
+    Polls of the executors then update the runs.
+    """
+    for submission_id, progress in record.progress_by_id.items():
         live = state.live_by_id.get(submission_id)
-        if live is not None and not live.final:
+        if live is not None and not live.final_state:
             live.restore(progress)
-            state.touch(live)
-            state.check_end(live)
-    for row in account.runs:
-        executor = state.executors_by_id.get(row.executor_id)
-        task = state.find_task(row.task)
+            state.mark_changed(live)
+            state.finish_if_ended(live)
+    for handed_run in record.runs:
+        executor = state.executors_by_id.get(handed_run.executor_id)
+        task = state.find_task(handed_run.task)
         if executor is None or task is None or task.done:
             continue
-        run = Run(task, row.number, executor.id, now_ms)
+        run = Run(task, handed_run.number, executor.id, now_ms)
         run.state = RunState.RUNNING
-        task.last_number = max(task.last_number, row.number)
-        executor.lapse_ms = max(executor.lapse_ms, now_ms + row.lapse_ms)
-        state.count_run(run, executor)
+        task.last_run_number = max(task.last_run_number, handed_run.number)
+        executor.lease_expiry_ms = max(
+            executor.lease_expiry_ms, now_ms + handed_run.expires_in_ms
+        )
+        state.track_run(run, executor)
 
 
-def encode_account(account: Account) -> bytes:
-    """Encode an account."""
+def encode_handover_record(record: HandoverRecord) -> bytes:
+    """Encode a handover record for the store."""
     return json.dumps(
         {
-            "fence": account.fence,
-            "runs": [dataclasses.astuple(run) for run in account.runs],
+            "fence": record.fence,
+            "runs": [dataclasses.astuple(run) for run in record.runs],
             "progress": {
                 submission_id: dataclasses.asdict(progress)
-                for submission_id, progress in account.progress_by_id.items()
+                for submission_id, progress in record.progress_by_id.items()
             },
-            "unseen_ms": account.unseen_ms,
-            "held_back": account.held_back,
-            "trusts_records": account.trusts_records,
+            "unseen_ms": record.unpolled_ms,
+            "held_back": record.held_back,
+            "trusts_records": record.trusts_records,
         }
     ).encode()
 
 
-def decode_account(value: bytes) -> Account | None:
-    """Decode an account; ``None`` if it is none."""
+def decode_handover_record(value: bytes) -> HandoverRecord | None:
+    """Decode a handover record.
+
+    :returns: ``None`` if the value has another format; the leader then waits until
+        the leases of its predecessor have expired.
+    """
     try:
         row = json.loads(value)
-        return Account(
+        return HandoverRecord(
             int(row["fence"]),
-            [HandedRun(*run) for run in row["runs"]],
+            [HandedOverRun(*run) for run in row["runs"]],
             {key: Progress(**progress) for key, progress in row["progress"].items()},
             {key: int(value) for key, value in row["unseen_ms"].items()},
             list(row["held_back"]),
             bool(row["trusts_records"]),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        _log.warning("unreadable account", error=repr(error))
+        _log.warning(
+            "ignored an unreadable handover record, waiting for leases",
+            error=repr(error),
+        )
         return None
--- /dev/null
+++ b/tests/test_maintenance.py
@@ -0,0 +1,72 @@
+"""Order and completion of a maintenance wave, decided without I/O."""
+
+from cranberrywheel.submission.machines import Machine, MachineState, Wave
+from cranberrywheel.submission.maintenance import (
+    REMOVED_AFTER_MS,
+    WaveState,
+    choose_machines_to_drain,
+)
+
+MAINTENANCE_MS = 2_000
+
+
+def make_machines(*rows):
+    return {
+        name: Machine(name, pool, state, "z", f"i-{name}") for name, pool, state in rows
+    }
+
+
+def make_state(*machines, at_once=8, duration_ms=26_000):
+    return WaveState(Wave(1, machines, duration_ms, at_once), 0)
+
+
+def choose(state, machines, pressure, now_ms=0):
+    return choose_machines_to_drain(
+        state, machines, {}, pressure, MAINTENANCE_MS, now_ms
+    )
+
+
+def test_idle_pool_is_drained_before_a_busy_one():
+    """Guards against a wave that takes machines from a pool during its queue's burst.
+
+    The worst time windows scored 0.22 when that happened.
+    """
+    up = MachineState.UP
+    machines = make_machines(("a1", "a", up), ("b1", "b", up), ("b2", "b", up))
+    state = make_state("a1", "b1", "b2")
+    assert choose(state, machines, {"a": 1.4, "b": 0.1}) == ["b1", "b2"]
+
+
+def test_busy_pool_is_drained_when_time_runs_short():
+    """Guards against a wave that never finishes because a pool is never idle."""
+    machines = make_machines(("a1", "a", MachineState.UP))
+    state = make_state("a1")
+    assert choose(state, machines, {"a": 1.4}) == []
+    assert choose(state, machines, {"a": 1.4}, now_ms=19_000) == ["a1"]
+
+
+def test_unavailable_machines_stay_within_the_wave_limit():
+    """Guards against more machines down at once than the wave allows."""
+    rows = [(f"p{i}", f"pool{i}", MachineState.UP) for i in range(6)]
+    machines = make_machines(*rows, ("d", "pool9", MachineState.MAINTENANCE))
+    state = make_state(*machines, at_once=3)
+    state.begun.add("d")
+    state.draining_since_ms["p0"] = 0
+    assert len(choose(state, machines, {})) == 1
+
+
+def test_wave_completes_without_a_removed_machine():
+    """Guards against a wave that never completes once a machine was removed."""
+    state = make_state("a1", "a2")
+    state.begun.add("a1")
+    state.update_presence({"a1"}, 0)
+    assert not state.is_finished(REMOVED_AFTER_MS - 1)
+    assert state.is_finished(REMOVED_AFTER_MS)
+
+
+def test_wave_waits_for_a_machine_that_is_down():
+    """Guards against a wave that completes before a listed machine is maintained."""
+    state = make_state("a1", "a2")
+    state.begun.add("a1")
+    state.update_presence({"a1", "a2"}, 0)
+    assert not state.is_finished(60_000)
