--- a/src/cranberrywheel/process/capacity.py
+++ b/src/cranberrywheel/process/capacity.py
@@ -77,11 +77,14 @@
     :param min_healthy: workers that must stay healthy.
     """
     total = sum(counts)
-    slacks = [total - n - min(min_healthy, total - n) for n in counts]
+    slacks = [total - count - min(min_healthy, total - count) for count in counts]
     for out_count in range(max(0, total - min_healthy), 0, -1):
         # Workers out beyond the slack that a zone's loss leaves must be in that zone.
         required_inside = [max(0, out_count - slack) for slack in slacks]
-        fits = all(a <= b for a, b in zip(required_inside, counts, strict=True))
+        fits = all(
+            required <= present
+            for required, present in zip(required_inside, counts, strict=True)
+        )
         if fits and sum(required_inside) <= out_count:
             return out_count
     return 0
@@ -145,7 +148,7 @@
             importance_by_pool[other] += 1
     return SizingProblem(
         counts={
-            pool: {zone: n for zone, n in by_zone.items() if n}
+            pool: {zone: count for zone, count in by_zone.items() if count}
             for pool, by_zone in counts.items()
         },
         demands_by_pool=compute_pool_demands(configuration, fleet.usage_by_queue),
@@ -220,5 +223,7 @@
     for pool, zones in counts.items():
         before = problem.counts[pool]
         cost += compute_pool_cost(problem, pool, sum(zones.values()), waves[pool])
-        moves += sum(max(0, n - before.get(zone, 0)) for zone, n in zones.items())
+        moves += sum(
+            max(0, count - before.get(zone, 0)) for zone, count in zones.items()
+        )
     return cost + problem.move_cost * moves
--- a/src/cranberrywheel/process/exchange.py
+++ b/src/cranberrywheel/process/exchange.py
@@ -103,7 +103,7 @@
     :param settings: of this process.
     :param clock: own clock.
     :param process_id: id of this process.
-    :param to_dispatcher: takes messages for the dispatcher.
+    :param to_dispatcher: receives messages for the dispatcher.
     """
 
     def __init__(
--- a/src/cranberrywheel/process/fleet_model.py
+++ b/src/cranberrywheel/process/fleet_model.py
@@ -69,7 +69,9 @@
             name: _parse_assignment(assignment)
             for name, assignment in body["instances"].items()
         }
-        maintained = {n: int(v) for n, v in body.get("maintained", {}).items()}
+        maintained = {
+            name: int(ended_ms) for name, ended_ms in body.get("maintained", {}).items()
+        }
         return ZonePoolsRecord(
             fence=int(body["fence"]),
             assignments_by_name=assignments,
@@ -220,7 +222,9 @@
     :param now_ms: wall clock.
     """
     listed_by_name = {
-        i.instance_id: i for i in instance_list.instances if i.kind == "worker"
+        instance.instance_id: instance
+        for instance in instance_list.instances
+        if instance.kind == "worker"
     }
     reports = reports_by_name or {}
     instances = {}
--- a/src/cranberrywheel/process/fleet_view.py
+++ b/src/cranberrywheel/process/fleet_view.py
@@ -73,7 +73,9 @@
             return
         self._instance_list = instance_list
         self._instances_by_id = {
-            i.instance_id: i for i in instance_list.instances if i.kind == "worker"
+            instance.instance_id: instance
+            for instance in instance_list.instances
+            if instance.kind == "worker"
         }
         self._refused_as_leaving.clear()
         self._refresh_workers()
@@ -87,9 +89,9 @@
         """Return pool and state by worker, from pool records or else as declared."""
         assert self._configuration is not None
         rows = {
-            w.name: m.PoolRow(w.name, w.pool, SERVING)
-            for w in self._configuration.workers_by_name.values()
-            if w.zone not in self._rows_by_zone
+            worker.name: m.PoolRow(worker.name, worker.pool, SERVING)
+            for worker in self._configuration.workers_by_name.values()
+            if worker.zone not in self._rows_by_zone
         }
         for zone_rows in self._rows_by_zone.values():
             rows.update({row.worker: row for row in zone_rows})
@@ -125,7 +127,11 @@
         self._update_ejection_limits(rows)
 
     def _update_leaving(self) -> None:
-        leaving = {i.instance_id for i in self._instances_by_id.values() if i.leaving}
+        leaving = {
+            instance.instance_id
+            for instance in self._instances_by_id.values()
+            if instance.leaving
+        }
         for peer in self._peers_by_id.values():
             leaving.update(peer.leaving_instances)
         self._workers.set_leaving(leaving | self._refused_as_leaving)
@@ -268,7 +274,9 @@
             if idle_units:
                 loads.setdefault((team, ""), [0, 0, 0])[2] = idle_units
         own_leaving = {
-            i.instance_id for i in self._instances_by_id.values() if i.leaving
+            instance.instance_id
+            for instance in self._instances_by_id.values()
+            if instance.leaving
         }
         return m.LoadReport(
             loads=tuple(
--- a/src/cranberrywheel/process/instance_lifecycle.py
+++ b/src/cranberrywheel/process/instance_lifecycle.py
@@ -122,8 +122,8 @@
     :returns: pairs of instance and target pool, within the same zone.
     """
     current_counts: collections.Counter[tuple[str, str]] = collections.Counter(
-        (i.assignment.target_pool or i.pool, i.zone)
-        for i in fleet.instances_by_name.values()
+        (instance.assignment.target_pool or instance.pool, instance.zone)
+        for instance in fleet.instances_by_name.values()
     )
     decided_counts = {
         (pool, zone): count
@@ -138,7 +138,9 @@
         key: count - decided_counts.get(key, 0) for key, count in current_counts.items()
     }
     chosen = []
-    for instance in sorted(available, key=lambda i: (i.report.drain_ms, i.name)):
+    for instance in sorted(
+        available, key=lambda instance: (instance.report.drain_ms, instance.name)
+    ):
         key = (instance.pool, instance.zone)
         if surplus.get(key, 0) > 0 and pools_short_by_zone.get(instance.zone):
             chosen.append((instance, pools_short_by_zone[instance.zone].pop(0)))
--- a/src/cranberrywheel/process/membership.py
+++ b/src/cranberrywheel/process/membership.py
@@ -149,7 +149,9 @@
 
         Unregistered processes are forgotten until they send the next message.
         """
-        roster = {r.process_id: r for r in registrations}
+        roster = {
+            registration.process_id: registration for registration in registrations
+        }
         self._roster_by_id = roster
         self._last_report_ms_by_id = {
             process_id: at_ms
@@ -203,7 +205,11 @@
         known = {**self._discovered_by_id, **(self._roster_by_id or {})}
         known.pop(self._process_id, None)
         groups = group_by_location(known.values())
-        return [r for r in known.values() if not self._has_ended(r, groups[r.location])]
+        return [
+            registration
+            for registration in known.values()
+            if not self._has_ended(registration, groups[registration.location])
+        ]
 
     def _has_ended(
         self, registration: Registration, same_location: list[Registration]
@@ -223,7 +229,10 @@
         """
         if not self._roster_by_id or self._process_id not in self._roster_by_id:
             return None
-        times = [self._last_report_ms_by_id.get(r.process_id) for r in self.peers()]
+        times = [
+            self._last_report_ms_by_id.get(registration.process_id)
+            for registration in self.peers()
+        ]
         # A roster without peers proves nothing about entries that registered
         # while this process could not read the store.
         if not times or None in times:
@@ -251,9 +260,9 @@
         :param registrations: read after the limit records.
         :param now_ms: own clock reading.
         """
-        registered = {r.process_id for r in registrations}
+        registered = {registration.process_id for registration in registrations}
         newest_by_location = {
-            location: max(group, key=lambda r: r.revision)
+            location: max(group, key=lambda registration: registration.revision)
             for location, group in group_by_location(registrations).items()
         }
         absences: dict[tuple[str, int], Absence] = {}
--- a/src/cranberrywheel/process/planner.py
+++ b/src/cranberrywheel/process/planner.py
@@ -220,7 +220,9 @@
                 changes[name] = new_assignment
         self._zone.change(changes)
         self._unresponsive -= changes.keys()
-        self._checkpointed = {k for k in self._checkpointed if k[0] not in changes}
+        self._checkpointed = {
+            task_key for task_key in self._checkpointed if task_key[0] not in changes
+        }
         if changes:
             self._update_disruptions(configuration)
 
@@ -257,19 +259,24 @@
     def _checkpoint_tasks(
         self, configuration: Configuration, name: str, tasks: tuple[TaskRow, ...]
     ) -> None:
-        addresses = {i.instance_id: i.address for i in self._instance_list.instances}
+        addresses = {
+            instance.instance_id: instance.address
+            for instance in self._instance_list.instances
+        }
         for task in tasks:
             queue = configuration.queues_by_name.get(task.queue)
-            key = (name, task.task_id)
+            task_key = (name, task.task_id)
             if (
                 task.state == "running"
                 and queue
                 and queue.can_checkpoint
-                and key not in self._checkpointed
+                and task_key not in self._checkpointed
             ):
-                self._checkpointed.add(key)
+                self._checkpointed.add(task_key)
                 _log.event(
-                    "checkpointing task for drain", instance=name, request_id=key[1]
+                    "checkpointing task for drain",
+                    instance=name,
+                    request_id=task_key[1],
                 )
                 self._workers.checkpoint(addresses[name], task.task_id)
 
@@ -357,7 +364,10 @@
             for name, tasks in tasks_by_name.items()
         }
         now_ms = self._now_wall_ms()
-        pools_by_zone = {z: parse_zone_pools(s.body) for z, s in stored_by_zone.items()}
+        pools_by_zone = {
+            zone: parse_zone_pools(record.body)
+            for zone, record in stored_by_zone.items()
+        }
         pools_by_zone[self._settings.zone] = self._zone.pools
         return build_fleet(
             configuration,
@@ -365,7 +375,9 @@
             self._instance_list,
             now_ms,
             reports,
-            sum_usage(configuration, (s.body for s in usage.values()), now_ms),
+            sum_usage(
+                configuration, (record.body for record in usage.values()), now_ms
+            ),
             out_by_service,
         )
 
@@ -379,5 +391,5 @@
             bodies["usage"] = usage
         for kind, body in bodies.items():
             self._lease.check()
-            key = f"{kind}/{self._settings.zone}"
-            self._records.write(key, body, self._records.read(key))
+            record_key = f"{kind}/{self._settings.zone}"
+            self._records.write(record_key, body, self._records.read(record_key))
--- a/src/cranberrywheel/process/store_session.py
+++ b/src/cranberrywheel/process/store_session.py
@@ -135,7 +135,7 @@
         peers: PeerExchange,
         make_client: t.Callable[[PlatformSettings], StoreClient] = StoreClient,
     ) -> None:
-        #: Takes ApplyText, GrantKey, WithdrawKey, UnitsWanted and Stop.
+        #: Receives ApplyText, GrantKey, WithdrawKey, UnitsWanted and Stop.
         self.inbox: queue.SimpleQueue[object] = queue.SimpleQueue()
         self._clock = clock
         self._to_dispatcher = to_dispatcher
--- a/src/cranberrywheel/process/waves.py
+++ b/src/cranberrywheel/process/waves.py
@@ -134,7 +134,9 @@
 
     def choose_quarantines(self) -> tuple[str, ...]:
         """Choose workers whose recent tasks all failed, within each pool's budget."""
-        failing = [i for i in self.available if i.report.fails_everything]
+        failing = [
+            instance for instance in self.available if instance.report.fails_everything
+        ]
         refused = {}
         for instance in failing:
             if reason := self.budgets.try_take_out(instance):
@@ -147,8 +149,12 @@
             if instance.name in refused:
                 self.budgets.mark_out(instance)
         self.waits.update(refused)
-        names = [i.name for i in failing if i.name not in refused]
-        self.available = [i for i in self.available if not i.report.fails_everything]
+        names = [instance.name for instance in failing if instance.name not in refused]
+        self.available = [
+            instance
+            for instance in self.available
+            if not instance.report.fails_everything
+        ]
         return tuple(names)
 
     def choose_repairs(self) -> tuple[str, ...]:
@@ -177,7 +183,7 @@
         if instance.report.reachable:
             return instance.report.running > 0
         longest_ms = max(
-            (q.timeout_ms for q in self.configuration.queues_by_name.values()),
+            (queue.timeout_ms for queue in self.configuration.queues_by_name.values()),
             default=0,
         )
         return self.fleet.now_ms - instance.assignment.since_ms < longest_ms
@@ -186,22 +192,26 @@
         """Choose workers to drain because the configuration no longer lists them."""
         taken = {}
         declared = self.configuration.workers_by_name
-        for instance in [i for i in self.available if i.name not in declared]:
+        for instance in [
+            instance for instance in self.available if instance.name not in declared
+        ]:
             if reason := self._try_take_out(instance):
                 self.waits[instance.name] = f"removed from the configuration: {reason}"
             else:
                 taken[instance.name] = ""
-        self.available = [i for i in self.available if i.name in declared]
+        self.available = [
+            instance for instance in self.available if instance.name in declared
+        ]
         return taken
 
     def choose_drops(self) -> tuple[str, ...]:
         """Choose instances to drop: not in the configuration, and empty or not live."""
         declared = self.configuration.workers_by_name
         return tuple(
-            i.name
-            for i in self.zone_instances
-            if i.name not in declared
-            and (not i.live or i.assignment.state is InstanceState.EMPTY)
+            instance.name
+            for instance in self.zone_instances
+            if instance.name not in declared
+            and (not instance.live or instance.assignment.state is InstanceState.EMPTY)
         )
 
     def choose_moves(self) -> dict[str, str]:
@@ -216,7 +226,11 @@
             if declared and is_healthy(instance) and instance.pool not in pools:
                 # Its pool is no longer configured, so no service needs it there.
                 taken[instance.name] = declared.pool
-        movable = [i for i in self.available if i.report.drain_ms <= LONG_DRAIN_MS]
+        movable = [
+            instance
+            for instance in self.available
+            if instance.report.drain_ms <= LONG_DRAIN_MS
+        ]
         for instance, target in choose_transfers(self.fleet, self.sizing, movable):
             if reason := self._try_take_out(instance):
                 self.waits[instance.name] = f"move to {target}: {reason}"
@@ -232,9 +246,9 @@
             find_dependency_pools(self.configuration),
         )
         due = [
-            i
-            for i in self.available
-            if is_maintenance_due(self.configuration, i.maintained_ms, now_ms)
+            instance
+            for instance in self.available
+            if is_maintenance_due(self.configuration, instance.maintained_ms, now_ms)
         ]
         for instance in self.zone_instances:
             if not is_healthy(instance) and is_maintenance_due(
@@ -242,12 +256,12 @@
             ):
                 self.waits.setdefault(instance.name, _explain_unhealthy(instance))
         due.sort(
-            key=lambda i: (
-                len(dependencies_by_pool[i.pool]),
-                i.report.drain_ms // LONG_DRAIN_MS,
-                i.maintained_ms,
-                i.report.drain_ms,
-                i.name,
+            key=lambda instance: (
+                len(dependencies_by_pool[instance.pool]),
+                instance.report.drain_ms // LONG_DRAIN_MS,
+                instance.maintained_ms,
+                instance.report.drain_ms,
+                instance.name,
             )
         )
         for instance in due:
@@ -383,6 +397,7 @@
 def _advance_to_due(configuration: Configuration, fleet: Fleet) -> Fleet:
     """Return the fleet at a time when maintenance of every instance is due."""
     newest_ms = max(
-        (i.maintained_ms for i in fleet.instances_by_name.values()), default=0
+        (instance.maintained_ms for instance in fleet.instances_by_name.values()),
+        default=0,
     )
     return dataclasses.replace(fleet, now_ms=newest_ms + _period_ms(configuration))
