--- a/src/cranberrywheel/process/attempts.py
+++ b/src/cranberrywheel/process/attempt_manager.py
@@ -19,7 +19,7 @@
 )
 from cranberrywheel.logs import PartLogger
 from cranberrywheel.process.attempt import Attempt, AttemptResult, AttemptState
-from cranberrywheel.process.limit_units import UnitLedger
+from cranberrywheel.process.quota_units import QuotaLedger
 from cranberrywheel.process.timers import Timers
 from cranberrywheel.process.worker_table import AttemptVerdict, WorkerRow, WorkerTable
 from cranberrywheel.request.model import Request
@@ -36,7 +36,7 @@
 _log = PartLogger("attempts")
 
 
-class Attempts:
+class AttemptManager:
     """State of all attempts of one entry process; owned by the dispatcher.
 
     :param post: sends a message to the target client.
@@ -48,7 +48,7 @@
         self,
         clock: Clock,
         settings: LimitSettings,
-        ledger: UnitLedger,
+        ledger: QuotaLedger,
         workers: WorkerTable,
         timers: Timers,
         post: t.Callable[[t.Any], None],
@@ -94,7 +94,9 @@
         """
         now_ms = self._clock.now_ms()
         task_id = f"{request.request_id}.{next(self._numbers)}"
-        if request.team and not self._ledger.take(request.team, task_id, now_ms):
+        if request.team and not self._ledger.acquire_unit(
+            request.team, task_id, now_ms
+        ):
             return None
         attempt = Attempt(
             task_id=task_id,
@@ -127,7 +129,7 @@
         if token is None:
             return False
         request = attempt.request
-        if request.team and not self._ledger.may_renew(attempt.task_id, now_ms):
+        if request.team and not self._ledger.has_valid_unit(attempt.task_id, now_ms):
             self._end(attempt, AttemptVerdict.REFUSED)
             self._report(attempt, AttemptEnd.NOT_SENT, detail="the unit has expired")
             return True
@@ -334,7 +336,7 @@
 
     def _renew(self, attempt: Attempt, now_ms: int) -> None:
         team = attempt.request.team
-        if team and not self._ledger.may_renew(attempt.task_id, now_ms):
+        if team and not self._ledger.has_valid_unit(attempt.task_id, now_ms):
             _log.event("unit expired while running", request_id=attempt.task_id)
             if attempt.queue.can_checkpoint:
                 self._control(attempt, "checkpoint")
@@ -366,7 +368,7 @@
             attempt.worker.name, verdict, duration_ms, now_ms, attempt.expected_ms
         )
         if attempt.request.team:
-            self._ledger.give_back(attempt.task_id)
+            self._ledger.free_unit(attempt.task_id)
 
     def _report(self, attempt: Attempt, end: AttemptEnd, **fields: t.Any) -> None:
         self._on_result(AttemptResult(attempt=attempt, end=end, **fields))
--- a/src/cranberrywheel/process/configuration_writer.py
+++ b/src/cranberrywheel/process/configuration_writer.py
@@ -16,7 +16,7 @@
 )
 from cranberrywheel.logs import PartLogger
 from cranberrywheel.process.exchange import PeerExchange
-from cranberrywheel.process.messages import ApplyText, GrantKey, WithdrawKey
+from cranberrywheel.process.messages import ApplyConfiguration, CreateKey, RevokeKey
 from cranberrywheel.process.record_writer import RecordWriter
 from cranberrywheel.settings import EntrySettings
 from cranberrywheel.version.adoption import (
@@ -67,12 +67,12 @@
 
 @dataclasses.dataclass(eq=False)
 class _Withdrawal:
-    message: WithdrawKey
+    message: RevokeKey
     accepted_ms: int
     deadline_ms: int
 
 
-def change_text(message: ApplyText) -> Change:
+def change_text(message: ApplyConfiguration) -> Change:
     """Return the change that a new text makes.
 
     :raises ConfigurationError: if the text is invalid.
@@ -101,7 +101,7 @@
     return change
 
 
-def add_key(message: GrantKey) -> Change:
+def add_key(message: CreateKey) -> Change:
     """Return the change that grants a new key."""
     key, entry = create_key(message.team)
 
@@ -159,14 +159,14 @@
         self._withdrawals: list[_Withdrawal] = []
         self._mark_due_ms_by_id: dict[str, int] = {}
 
-    def apply_text(self, message: ApplyText, now_ms: int) -> None:
+    def apply_text(self, message: ApplyConfiguration, now_ms: int) -> None:
         """Start the write of a new text; an invalid one is refused at once."""
         try:
             self._enqueue(change_text(message), message.version, now_ms)
         except ConfigurationError as error:
             settle(message.version, error=error)
 
-    def grant_key(self, message: GrantKey, now_ms: int) -> None:
+    def grant_key(self, message: CreateKey, now_ms: int) -> None:
         """Start the write of a new key."""
         self._enqueue(add_key(message), message.key, now_ms)
 
@@ -176,7 +176,7 @@
         deadline_ms = now_ms + OPERATION_TIMEOUT_MS
         self._operations.append(_Operation(change, future, deadline_ms))
 
-    def withdraw_key(self, message: WithdrawKey, now_ms: int, registered: bool) -> None:
+    def withdraw_key(self, message: RevokeKey, now_ms: int, registered: bool) -> None:
         """Stop a key here at once, then in the store and on the peers.
 
         An unavailable store does not prevent it: the mark is written later.
--- a/src/cranberrywheel/process/dispatcher.py
+++ b/src/cranberrywheel/process/dispatcher.py
@@ -8,8 +8,8 @@
 from cranberrywheel.logs import PartLogger
 from cranberrywheel.process import messages as m
 from cranberrywheel.process.entry_state import EntryState
+from cranberrywheel.process.long_waits import displace_for_urgent, forward_for_units
 from cranberrywheel.process.placement import Placement
-from cranberrywheel.process.relief import displace_for_urgent, forward_for_units
 from cranberrywheel.process.ticket_calls import TicketCalls
 from cranberrywheel.request.fair_queue import FairQueue
 
@@ -57,13 +57,15 @@
             m.ReadStatus: lambda msg: msg.status.set_result(self._status()),
             m.ReadFleet: lambda msg: msg.fleet.set_result(state.fleet.describe()),
             m.ConfigurationAdopted: self._adopt,
-            m.ProofTaken: lambda msg: state.freshness.proven(msg.taken_ms),
-            m.MarkWithdrawn: lambda msg: state.marked_ids.add(msg.key_id),
+            m.FreshnessProven: lambda msg: state.freshness.proven(msg.proven_ms),
+            m.KeyRevoked: lambda msg: state.marked_ids.add(msg.key_id),
             m.PoolsChanged: state.fleet.set_pools,
             m.InstancesListed: lambda msg: state.fleet.set_instances(msg.listed),
-            m.UnitsHeld: self._units_held,
-            m.HoldRenewed: lambda msg: state.ledger.renewed(msg.started_ms),
-            m.ReleaseUnits: self._release_units,
+            m.QuotaUnitsHeld: self._units_held,
+            m.QuotaLeaseRenewed: lambda msg: state.ledger.note_lease_renewal(
+                msg.started_ms
+            ),
+            m.ReleaseQuotaUnits: self._release_units,
             m.PeerReport: state.fleet.set_peer,
             m.PeerLost: lambda msg: state.fleet.drop_peer(msg.process_id),
             m.ResultsHandedOver: self._results_handed_over,
@@ -86,9 +88,9 @@
 
     def _run(self) -> None:
         while self._running:
-            self.turn(self._state.timers.wait_ms(self._now_ms(), TICK_MS))
+            self.run_once(self._state.timers.wait_ms(self._now_ms(), TICK_MS))
 
-    def turn(self, wait_ms: int = 0) -> None:
+    def run_once(self, wait_ms: int = 0) -> None:
         """Handle waiting messages, start what can start, run due timers.
 
         :param wait_ms: longest wait for the first message.
@@ -153,14 +155,14 @@
         # Its listener is closed: nothing may be forwarded to it any more.
         self._state.fleet.drop_peer(message.process_id)
 
-    def _units_held(self, message: m.UnitsHeld) -> None:
+    def _units_held(self, message: m.QuotaUnitsHeld) -> None:
         self._state.ledger.set_held(
             message.team, message.long_units, message.short_units
         )
 
-    def _release_units(self, message: m.ReleaseUnits) -> None:
+    def _release_units(self, message: m.ReleaseQuotaUnits) -> None:
         message.released.set_result(
-            self._state.ledger.release(
+            self._state.ledger.release_units(
                 message.team, message.long_units, message.short_units
             )
         )
@@ -203,10 +205,10 @@
                 waiting[team] = waiting.get(team, 0) + count
         waiting.pop("", None)
         self._state.links.to_store(
-            m.UnitsWanted(dict(self._state.ledger.in_use_by_team()), waiting)
+            m.QuotaDemand(dict(self._state.ledger.in_use_by_team()), waiting)
         )
         idle = {
-            team: self._state.ledger.idle(team, now_ms)
+            team: self._state.ledger.idle_units(team, now_ms)
             for team in self._state.fleet.shares_by_team
         }
         self._state.links.to_peers(
@@ -236,7 +238,7 @@
             "late_answers": self._attempts.late_answers,
             "units_in_use_by_team": dict(self._state.ledger.in_use_by_team()),
             "units_usable_by_team": {
-                team: self._state.ledger.idle(team, now_ms)
+                team: self._state.ledger.idle_units(team, now_ms)
                 for team in self._state.fleet.shares_by_team
             },
             "peers": self._state.fleet.peer_ids(),
--- a/src/cranberrywheel/process/entry_state.py
+++ b/src/cranberrywheel/process/entry_state.py
@@ -9,9 +9,9 @@
 from cranberrywheel.clock import Clock
 from cranberrywheel.process import messages as m
 from cranberrywheel.process.fleet_view import FleetView
-from cranberrywheel.process.limit_units import UnitLedger
 from cranberrywheel.process.metrics import Metrics
 from cranberrywheel.process.pending import Forward, PendingRequests
+from cranberrywheel.process.quota_units import QuotaLedger
 from cranberrywheel.process.timers import Timers
 from cranberrywheel.process.worker_table import WorkerTable
 from cranberrywheel.request.estimates import RunTimeEstimates
@@ -57,7 +57,7 @@
     clock: Clock
     links: Links
     rng: random.Random
-    ledger: UnitLedger
+    ledger: QuotaLedger
     workers: WorkerTable
     fleet: FleetView
     tickets: TicketBook
@@ -94,7 +94,7 @@
         clock=clock,
         links=links,
         rng=rng,
-        ledger=UnitLedger(settings.limits),
+        ledger=QuotaLedger(settings.limits),
         workers=workers,
         fleet=FleetView(process_id, workers),
         metrics=Metrics(settings.statsd_host, settings.statsd_port),
--- a/src/cranberrywheel/process/exchange.py
+++ b/src/cranberrywheel/process/exchange.py
@@ -18,12 +18,12 @@
 )
 from cranberrywheel.process.messages import (
     ConfigurationAdopted,
+    FreshnessProven,
+    KeyRevoked,
     LoadReport,
-    MarkWithdrawn,
     PeerLoad,
     PeerLost,
     PeerReport,
-    ProofTaken,
 )
 from cranberrywheel.settings import EntrySettings
 from cranberrywheel.version.adoption import ConfigurationHolder
@@ -154,7 +154,7 @@
         """Note that every accepted withdrawal up to a time is known here."""
         with self._lock:
             if self._proof.proven(taken_ms):
-                self._to_dispatcher(ProofTaken(taken_ms))
+                self._to_dispatcher(FreshnessProven(taken_ms))
 
     def _is_store_down(self) -> bool:
         """Tell whether no entry seems to have read the store lately.
@@ -175,7 +175,7 @@
             if snapshot is not None and key_id in snapshot.withdrawn_ids:
                 return
             self._marks.add(key_id)
-            self._to_dispatcher(MarkWithdrawn(key_id))
+            self._to_dispatcher(KeyRevoked(key_id))
         _log.event("marked key as withdrawn", key_id=key_id)
 
     def unwritten_marks(self) -> set[str]:
--- a/src/cranberrywheel/process/fleet_view.py
+++ b/src/cranberrywheel/process/fleet_view.py
@@ -23,7 +23,7 @@
         self._workers = workers
         self._configuration: Configuration | None = None
         self._revision_by_zone: dict[str, int] = {}
-        self._rows_by_zone: dict[str, tuple[m.PoolRow, ...]] = {}
+        self._rows_by_zone: dict[str, tuple[m.PoolAssignment, ...]] = {}
         self._bodies_by_zone: dict[str, dict[str, t.Any]] = {}
         self._listed = InstanceList(0, 0, ())
         self._instances_by_id: dict[str, Instance] = {}
@@ -82,11 +82,11 @@
         self._refused_as_leaving.add(worker)
         self._set_leaving()
 
-    def _assignments(self) -> dict[str, m.PoolRow]:
+    def _assignments(self) -> dict[str, m.PoolAssignment]:
         """Pool and state per worker: as recorded, else as declared."""
         assert self._configuration is not None
         rows = {
-            w.name: m.PoolRow(w.name, w.pool, SERVING)
+            w.name: m.PoolAssignment(w.name, w.pool, SERVING)
             for w in self._configuration.workers_by_name.values()
             if w.zone not in self._rows_by_zone
         }
--- a/src/cranberrywheel/process/relief.py
+++ b/src/cranberrywheel/process/long_waits.py
@@ -2,9 +2,9 @@
 
 from cranberrywheel.logs import PartLogger
 from cranberrywheel.process.attempt import Attempt, AttemptState
-from cranberrywheel.process.attempts import Attempts
+from cranberrywheel.process.attempt_manager import AttemptManager
 from cranberrywheel.process.entry_state import EntryState
-from cranberrywheel.process.request_flow import RequestFlow
+from cranberrywheel.process.request_handler import RequestHandler
 from cranberrywheel.request.displacement import RunningTask, choose_displaced
 
 #: Urgent work must start within 1.5 s; a checkpoint takes part of the rest.
@@ -26,7 +26,7 @@
     )
 
 
-def displace_for_urgent(state: EntryState, attempts: Attempts) -> None:
+def displace_for_urgent(state: EntryState, attempts: AttemptManager) -> None:
     """Checkpoint non-urgent tasks where urgent requests wait for a slot.
 
     :param state: the dispatcher's state.
@@ -40,7 +40,7 @@
         if not waiting or service not in configuration.services_by_name:
             continue
         pool = configuration.services_by_name[service].pool
-        if state.workers.has_room(pool, now_ms):
+        if state.workers.has_capacity(pool, now_ms):
             continue
         running = [
             _describe(attempt)
@@ -55,7 +55,7 @@
                 _log.event("displaced task", request_id=task_id, service=service)
 
 
-def forward_for_units(state: EntryState, flow: RequestFlow) -> None:
+def forward_for_units(state: EntryState, flow: RequestHandler) -> None:
     """Pass requests of teams without a unit here to peers with idle ones.
 
     Ticketed requests stay, because only this process may start them.
@@ -73,7 +73,7 @@
             or pending.may_have_run
             or now_ms - request.arrived_ms < UNIT_WAIT_MS
             or any(waiter.incoming.forwarded for waiter in pending.waiters)
-            or state.ledger.idle(request.team, now_ms) > 0
+            or state.ledger.idle_units(request.team, now_ms) > 0
         ):
             continue
         queue = state.queues_by_service[request.service]
--- a/src/cranberrywheel/process/membership.py
+++ b/src/cranberrywheel/process/membership.py
@@ -11,7 +11,7 @@
 from cranberrywheel.connection.store_client import InstanceList, Record
 from cranberrywheel.errors import StoreError
 from cranberrywheel.process.limit_record import LimitRecord
-from cranberrywheel.process.limit_units import Absence
+from cranberrywheel.process.quota_units import Absence
 from cranberrywheel.settings import EntrySettings
 
 ENTRIES_PREFIX = "entries/"
--- a/src/cranberrywheel/process/messages.py
+++ b/src/cranberrywheel/process/messages.py
@@ -116,24 +116,24 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ProofTaken:
-    """To the dispatcher: the keys were current at ``taken_ms``.
+class FreshnessProven:
+    """To the dispatcher: the keys were current at ``proven_ms``.
 
-    :param taken_ms: own clock reading before the proving read was sent.
+    :param proven_ms: own clock reading before the proving read was sent.
     """
 
-    taken_ms: int
+    proven_ms: int
 
 
 @dataclasses.dataclass(frozen=True)
-class MarkWithdrawn:
+class KeyRevoked:
     """To the dispatcher: a key was withdrawn and must stop at once."""
 
     key_id: str
 
 
 @dataclasses.dataclass(frozen=True)
-class PoolRow:
+class PoolAssignment:
     """One instance of a ``pools/<zone>`` record."""
 
     worker: str
@@ -150,7 +150,7 @@
 
     zone: str
     revision: int
-    rows: tuple[PoolRow, ...]
+    rows: tuple[PoolAssignment, ...]
     body: dict[str, t.Any] = dataclasses.field(default_factory=dict)
 
 
@@ -162,11 +162,11 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class UnitsHeld:
+class QuotaUnitsHeld:
     """To the dispatcher: the units this process holds of one team.
 
     Sent after a confirmed write or read. The store session sends a lower count
-    before it gives units away; see :class:`ReleaseUnits`.
+    before it gives units away; see :class:`ReleaseQuotaUnits`.
     """
 
     team: str
@@ -175,7 +175,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class HoldRenewed:
+class QuotaLeaseRenewed:
     """To the dispatcher: the lease was renewed.
 
     :param started_ms: own clock reading before the renewal was sent.
@@ -185,7 +185,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ReleaseUnits:
+class ReleaseQuotaUnits:
     """To the dispatcher: stop using units before they are written away.
 
     :param released: gets the long and short counts that are now unusable; both
@@ -199,7 +199,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class UnitsWanted:
+class QuotaDemand:
     """To the store session: use and demand per team, sent every second.
 
     :param in_use_by_team: units with a running request.
@@ -261,7 +261,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ApplyText:
+class ApplyConfiguration:
     """To the store session: write a new operators' text.
 
     :param expected_text_version: the version that the operator edited.
@@ -274,7 +274,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class GrantKey:
+class CreateKey:
     """To the store session: create a key; the future gets the whole key once."""
 
     team: str
@@ -282,7 +282,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class WithdrawKey:
+class RevokeKey:
     """To the store session: withdraw a key.
 
     :param result: gets ``{"stored": bool, "confirmed": [...], "unconfirmed": [...]}``
--- a/src/cranberrywheel/process/placement.py
+++ b/src/cranberrywheel/process/placement.py
@@ -9,10 +9,10 @@
 )
 from cranberrywheel.logs import PartLogger
 from cranberrywheel.process.attempt import AttemptResult
-from cranberrywheel.process.attempts import Attempts
+from cranberrywheel.process.attempt_manager import AttemptManager
 from cranberrywheel.process.entry_state import EntryState
 from cranberrywheel.process.pending import PendingRequest
-from cranberrywheel.process.request_flow import RequestFlow
+from cranberrywheel.process.request_handler import RequestHandler
 from cranberrywheel.request.model import Answer, Outcome, Request
 from cranberrywheel.request.problem import problem_answer
 from cranberrywheel.request.retry import blames_request, plan_retry
@@ -31,7 +31,7 @@
 
     def __init__(self, state: EntryState) -> None:
         self._state = state
-        self.attempts = Attempts(
+        self.attempts = AttemptManager(
             state.clock,
             state.settings.limits,
             state.ledger,
@@ -40,7 +40,7 @@
             state.links.to_targets,
             self._attempt_ended,
         )
-        self.flow = RequestFlow(state, self.attempts.stop)
+        self.flow = RequestHandler(state, self.attempts.stop)
 
     def start_queued(self) -> None:
         """Start queued requests while there are slots and units for them."""
@@ -52,12 +52,14 @@
             if not len(fair_queue) or service not in configuration.services_by_name:
                 continue
             pool = configuration.services_by_name[service].pool
-            while len(fair_queue) and self._state.workers.has_room(pool, now_ms):
+            while len(fair_queue) and self._state.workers.has_capacity(pool, now_ms):
                 request = fair_queue.pop(
                     now_ms,
                     self._state.fleet.shares_by_team,
                     self._state.fleet.use_by_team,
-                    lambda team: not team or self._state.ledger.idle(team, now_ms) > 0,
+                    lambda team: (
+                        not team or self._state.ledger.idle_units(team, now_ms) > 0
+                    ),
                 )
                 if request is None:
                     break
@@ -207,7 +209,7 @@
         if not certainly_not_started:
             pending.failed_workers.add(result.attempt.worker.name)
             if blames_request(pending.failed_workers):
-                self._state.workers.excuse(pending.failed_workers, now_ms)
+                self._state.workers.retract_failures(pending.failed_workers, now_ms)
                 _log.event("request failed everywhere", request_id=request.request_id)
                 return False
         delay_ms = plan_retry(
--- a/src/cranberrywheel/process/planner.py
+++ b/src/cranberrywheel/process/planner.py
@@ -38,11 +38,11 @@
 from cranberrywheel.process.size_search import choose_sizes
 from cranberrywheel.process.waves import is_due, plan_round
 from cranberrywheel.process.worker_reports import (
-    TaskRow,
-    UsageBook,
-    Workers,
-    report_of,
+    TaskStatus,
+    UsageEstimator,
+    WorkerClient,
     sum_usage,
+    summarize_worker,
 )
 from cranberrywheel.process.zone_lease import ZoneLease
 from cranberrywheel.process.zone_record import ZoneRecord
@@ -79,7 +79,7 @@
         self,
         settings: PlannerSettings,
         client: StoreClient,
-        workers: Workers,
+        workers: WorkerClient,
         clock: Clock | None = None,
         now_wall_ms: t.Callable[[], int] = wall_clock_ms,
     ) -> None:
@@ -94,7 +94,7 @@
             settings.zone, client, self._records, self._lease, self._clock
         )
         self._disruptions = Disruptions(self._records)
-        self._usage = UsageBook()
+        self._usage = UsageEstimator()
         self._configuration: Configuration | None = None
         self._configuration_version = 0
         self._listed = InstanceList(0, 0, ())
@@ -169,7 +169,7 @@
                 )
         return self._configuration
 
-    def _ask(self, names: t.Iterable[str]) -> dict[str, tuple[TaskRow, ...] | None]:
+    def _ask(self, names: t.Iterable[str]) -> dict[str, tuple[TaskStatus, ...] | None]:
         """Ask listed workers for their tasks; the others are absent."""
         wanted = set(names)
         return self._workers.tasks(
@@ -209,7 +209,7 @@
         configuration: Configuration,
         name: str,
         row: PoolRow,
-        tasks: tuple[TaskRow, ...] | None,
+        tasks: tuple[TaskStatus, ...] | None,
     ) -> PoolRow | None:
         if row.target_pool and row.target_pool not in configuration.pools_by_name:
             return moves.recall(row, self._now_wall_ms())
@@ -227,11 +227,11 @@
         now_ms = self._now_wall_ms()
         maintained_ms = self._zone.pools.maintained_ms_by_name.get(name, 0)
         due = is_due(configuration, maintained_ms, now_ms)
-        report = report_of(configuration, tasks)
+        report = summarize_worker(configuration, tasks)
         return moves.advance(row, report, rebooted, due, now_ms)
 
     def _checkpoint(
-        self, configuration: Configuration, name: str, tasks: tuple[TaskRow, ...]
+        self, configuration: Configuration, name: str, tasks: tuple[TaskStatus, ...]
     ) -> None:
         addresses = {i.instance_id: i.address for i in self._listed.instances}
         for task in tasks:
@@ -321,7 +321,7 @@
             self._usage.sample(tasks_by_name)
             self._next_sample_ms = self._clock.now_ms() + SAMPLE_INTERVAL_MS
         reports: dict[str, WorkerReport] = {
-            name: report_of(configuration, tasks)
+            name: summarize_worker(configuration, tasks)
             for name, tasks in tasks_by_name.items()
         }
         now_ms = self._now_wall_ms()
--- a/src/cranberrywheel/process/unit_keeper.py
+++ b/src/cranberrywheel/process/quota_manager.py
@@ -8,7 +8,7 @@
 from cranberrywheel.connection.store_client import Record, StoreClient
 from cranberrywheel.errors import StoreConflictError, StoreError, StoreUnavailableError
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.process import limit_record, limit_units
+from cranberrywheel.process import limit_record, quota_units
 from cranberrywheel.process.exchange import PeerExchange
 from cranberrywheel.process.limit_record import HolderRow, LimitRecord
 from cranberrywheel.process.membership import (
@@ -18,9 +18,9 @@
     group_by_place,
 )
 from cranberrywheel.process.messages import (
-    ReleaseUnits,
-    UnitsHeld,
-    UnitsWanted,
+    QuotaDemand,
+    QuotaUnitsHeld,
+    ReleaseQuotaUnits,
 )
 from cranberrywheel.process.record_writer import RecordWriter
 from cranberrywheel.settings import LimitSettings
@@ -29,7 +29,7 @@
 
 LIMITS_PREFIX = "limits/"
 #: Longest wait for the dispatcher to release units. A late release is undone by
-#: the ``UnitsHeld`` that follows it.
+#: the ``QuotaUnitsHeld`` that follows it.
 RELEASE_TIMEOUT_MS = 1_000
 #: Attempts to write a record that other entries write at the same time. Entries
 #: with idle units all answer the same request.
@@ -46,7 +46,7 @@
     record: LimitRecord | None = None
 
 
-class UnitKeeper:
+class QuotaManager:
     """Owns the unit records of one process; used by the store session only.
 
     :param settings: hold times and long fraction.
@@ -80,13 +80,13 @@
         self._missing = MissingHolders()
         self._random = random.Random(registration.process_id)
         self._registered_ids: set[str] = set()
-        self._wanted = UnitsWanted({}, {})
+        self._wanted = QuotaDemand({}, {})
 
-    def want(self, wanted: UnitsWanted) -> None:
+    def set_demand(self, wanted: QuotaDemand) -> None:
         """Take the dispatcher's use and demand."""
         self._wanted = wanted
 
-    def listed(
+    def update_from_list(
         self,
         records: list[Record],
         registrations: list[Registration],
@@ -139,7 +139,7 @@
                 return
             row = self._own_units(self._shrink(team, record))
         self._dispatcher_units_by_team[team] = row
-        self._to_dispatcher(UnitsHeld(team, *row))
+        self._to_dispatcher(QuotaUnitsHeld(team, *row))
 
     def _own_units(self, record: LimitRecord | None) -> tuple[int, int]:
         row = record.holders.get(self._own.process_id) if record else None
@@ -150,7 +150,7 @@
         teams = snapshot.configuration.teams_by_name if snapshot else {}
         if snapshot is None or team not in teams:
             return record
-        return limit_units.set_limit(record, teams[team].limit, snapshot.version)
+        return quota_units.set_limit(record, teams[team].limit, snapshot.version)
 
     def _awaits_shrink(self, team: str, record: LimitRecord) -> bool:
         """Tell whether a lowered limit is known but not yet met by the record."""
@@ -158,14 +158,14 @@
         return known.limit < record.limit or record.total > record.limit
 
     def _shrink(self, team: str, record: LimitRecord) -> LimitRecord:
-        return limit_units.shrink(
+        return quota_units.shrink_to_target(
             self._with_known_limit(team, record),
             self._own.process_id,
             self._wanted.in_use_by_team.get(team, 0),
             self._settings.long_fraction,
         )
 
-    def rejoin(self, registration: Registration) -> None:
+    def reregister(self, registration: Registration) -> None:
         """Enter a new registration in each record that names this process.
 
         Units count again only after this, because a reclaim prepared while the
@@ -176,15 +176,15 @@
         self._own = registration
         for team in list(self._states_by_team):
             try:
-                self._rejoin_team(LIMITS_PREFIX + team)
+                self._reregister_team(LIMITS_PREFIX + team)
             except (StoreUnavailableError, StoreConflictError):
                 raise
             except StoreError as error:
                 _log.warning("use no units", team=team, cause=error.message)
                 self._dispatcher_units_by_team[team] = (0, 0)
-                self._to_dispatcher(UnitsHeld(team, 0, 0))
+                self._to_dispatcher(QuotaUnitsHeld(team, 0, 0))
 
-    def _rejoin_team(self, key: str) -> None:
+    def _reregister_team(self, key: str) -> None:
         if self._writer.is_lost(key):
             self._writer.resolve(key)
         stored = self._writer.read(key)
@@ -192,7 +192,9 @@
             return
         record = limit_record.parse(stored.body)
         if self._own.process_id in record.holders:
-            changed = limit_units.rejoin(record, self._own.process_id, self._own_row())
+            changed = quota_units.update_registration(
+                record, self._own.process_id, self._own_row()
+            )
             stored = self._writer.write(key, stored, limit_record.dump(changed))
         self._adopt(stored)
 
@@ -269,16 +271,16 @@
     ) -> LimitRecord:
         holder = self._own.process_id
         record = before or LimitRecord(limit=limit, limit_version=version)
-        record = limit_units.set_limit(record, limit, version)
+        record = quota_units.set_limit(record, limit, version)
         row = record.holders.get(holder)
         if row is None or row.registration != self._own.revision:
-            record = limit_units.rejoin(record, holder, self._own_row())
+            record = quota_units.update_registration(record, holder, self._own_row())
         in_use = self._wanted.in_use_by_team.get(team, 0)
         waiting = self._wanted.waiting_by_team.get(team, 0)
-        return limit_units.rebalance(
+        return quota_units.rebalance(
             record,
             holder,
-            limit_units.Need(in_use, waiting),
+            quota_units.UnitDemand(in_use, waiting),
             self._base(record),
             self._settings.long_fraction,
             self._peers.seen_ids(),
@@ -306,7 +308,7 @@
             return True
         released: concurrent.futures.Future[tuple[int, int]]
         released = concurrent.futures.Future()
-        self._to_dispatcher(ReleaseUnits(team, long_out, short_out, released))
+        self._to_dispatcher(ReleaseQuotaUnits(team, long_out, short_out, released))
         try:
             given = released.result(RELEASE_TIMEOUT_MS / 1000)
         except TimeoutError:
@@ -325,7 +327,7 @@
             absence = self._missing.get(holder, row.registration)
             if absence is None or holder == self._own.process_id:
                 continue
-            expected = limit_units.reclaim(
+            expected = quota_units.reclaim(
                 record, holder, absence, now_ms, self._settings
             )
             if expected != record:
@@ -336,7 +338,7 @@
         team: str,
         holder: str,
         row: HolderRow,
-        absence: limit_units.Absence,
+        absence: quota_units.Absence,
         now_ms: int,
     ) -> None:
         key = LIMITS_PREFIX + team
@@ -352,7 +354,7 @@
         present = record.holders.get(holder)
         if present is None or present.registration != row.registration:
             return
-        changed = limit_units.reclaim(record, holder, absence, now_ms, self._settings)
+        changed = quota_units.reclaim(record, holder, absence, now_ms, self._settings)
         try:
             written = self._writer.write(key, stored, limit_record.dump(changed))
         except StoreConflictError:
@@ -381,6 +383,6 @@
         # After a conflict this also undoes the release that it followed.
         self._adopt(stored, force=True)
         record = limit_record.parse(stored.body)
-        following = limit_units.leave(record, holder)
+        following = quota_units.remove_holder(record, holder)
         if following != record and self._release(team, following):
             self._adopt(self._writer.write(key, stored, limit_record.dump(following)))
--- a/src/cranberrywheel/process/limit_units.py
+++ b/src/cranberrywheel/process/quota_units.py
@@ -1,6 +1,6 @@
 """Units of a team's upper limit: use by this process, and the shared record.
 
-``UnitLedger`` counts the use of units that this process holds. The functions
+``QuotaLedger`` counts the use of units that this process holds. The functions
 compute the next state of a ``limits/<team>`` record; the sum over its holders
 exceeds its limit only while holders release units after the limit was lowered.
 """
@@ -18,7 +18,7 @@
 CLOCK_RATE_MARGIN = 0.01
 
 
-class UnitLedger:
+class QuotaLedger:
     """Counts units held and used; owned by the dispatcher.
 
     :param settings: hold times.
@@ -58,7 +58,7 @@
             del self._lowered_by_team[team]
         self._limits_by_team[team] = limit
 
-    def renewed(self, started_ms: int) -> None:
+    def note_lease_renewal(self, started_ms: int) -> None:
         """Note a successful lease renewal.
 
         :param started_ms: own clock reading before the renewal was sent.
@@ -76,7 +76,7 @@
             valid += short_units
         return valid
 
-    def usable(self, team: str, now_ms: int) -> int:
+    def usable_units(self, team: str, now_ms: int) -> int:
         """Return on how many units requests may start, used ones included.
 
         :param team: name of the team.
@@ -94,16 +94,16 @@
             valid = min(valid, scaled)
         return min(valid, limit)
 
-    def idle(self, team: str, now_ms: int) -> int:
+    def idle_units(self, team: str, now_ms: int) -> int:
         """Return how many more requests may start now.
 
         :param team: name of the team.
         :param now_ms: own clock reading.
         """
         in_use = len(self._running_by_team.get(team, ()))
-        return max(0, self.usable(team, now_ms) - in_use)
+        return max(0, self.usable_units(team, now_ms) - in_use)
 
-    def take(self, team: str, request_id: str, now_ms: int) -> bool:
+    def acquire_unit(self, team: str, request_id: str, now_ms: int) -> bool:
         """Take a unit for a request that is about to start.
 
         :returns: false if no unit is usable.
@@ -111,13 +111,13 @@
         if request_id in self._teams_by_request:
             return True
         running = self._running_by_team.setdefault(team, {})
-        if len(running) >= self.usable(team, now_ms):
+        if len(running) >= self.usable_units(team, now_ms):
             return False
         running[request_id] = None
         self._teams_by_request[request_id] = team
         return True
 
-    def may_renew(self, request_id: str, now_ms: int) -> bool:
+    def has_valid_unit(self, request_id: str, now_ms: int) -> bool:
         """Tell whether the unit of a running request is still valid.
 
         The earliest requests count as running on long units.
@@ -132,13 +132,15 @@
             return True
         return request_id in list(running)[:valid]
 
-    def give_back(self, request_id: str) -> None:
+    def free_unit(self, request_id: str) -> None:
         """Free the unit of a request that has certainly ended."""
         team = self._teams_by_request.pop(request_id, None)
         if team is not None:
             self._running_by_team[team].pop(request_id, None)
 
-    def release(self, team: str, long_units: int, short_units: int) -> tuple[int, int]:
+    def release_units(
+        self, team: str, long_units: int, short_units: int
+    ) -> tuple[int, int]:
         """Stop using units that are about to be written away.
 
         :returns: long and short units that are now unusable; lower than asked
@@ -157,7 +159,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Need:
+class UnitDemand:
     """Units with a running request, and requests that wait for one."""
 
     in_use: int
@@ -197,7 +199,7 @@
     return record.model_copy(update={"holders": {**record.holders, holder: row}})
 
 
-def _grow(
+def _add_units(
     record: LimitRecord, holder: str, amount: int, long_fraction: float
 ) -> LimitRecord:
     """Add units. No count falls, so the holder need not be asked first."""
@@ -212,7 +214,7 @@
     )
 
 
-def _reduce(
+def _remove_units(
     record: LimitRecord, holder: str, total: int, long_fraction: float
 ) -> LimitRecord:
     """Take units away down to a total. No count rises."""
@@ -222,7 +224,9 @@
     return _with_row(record, holder, long=total - short_units, short=short_units)
 
 
-def rejoin(record: LimitRecord, holder: str, row: HolderRow) -> LimitRecord:
+def update_registration(
+    record: LimitRecord, holder: str, row: HolderRow
+) -> LimitRecord:
     """Enter a holder's present registration, keeping the units that it has.
 
     :param holder: process id.
@@ -263,7 +267,7 @@
     return changed.model_copy(update={"holders": holders})
 
 
-def shrink(
+def shrink_to_target(
     record: LimitRecord, holder: str, in_use: int, long_fraction: float
 ) -> LimitRecord:
     """Bring a holder towards its target after the limit was lowered.
@@ -275,7 +279,7 @@
         return record
     total = max(row.target, min(row.total, in_use))
     if row.total > total:
-        record = _reduce(record, holder, total, long_fraction)
+        record = _remove_units(record, holder, total, long_fraction)
     return record
 
 
@@ -283,7 +287,7 @@
     return max(0, row.wanted - row.total)
 
 
-def _lend(
+def _transfer_idle_units(
     record: LimitRecord,
     holder: str,
     need: int,
@@ -304,8 +308,8 @@
         kept = max(need, reserve if row.wanted > base + 1 else base)
         amount = min(_unmet(row), own.total - kept)
         if amount > 0:
-            record = _grow(record, taker, amount, long_fraction)
-            record = _reduce(record, holder, own.total - amount, long_fraction)
+            record = _add_units(record, taker, amount, long_fraction)
+            record = _remove_units(record, holder, own.total - amount, long_fraction)
     return record
 
 
@@ -324,7 +328,7 @@
 def rebalance(
     record: LimitRecord,
     holder: str,
-    need: Need,
+    need: UnitDemand,
     base: int,
     long_fraction: float,
     reachable: t.Collection[str] = (),
@@ -339,23 +343,25 @@
     :returns: the next record, equal to the given one if nothing should change.
     """
     if record.total > record.limit:
-        return shrink(record, holder, need.in_use, long_fraction)
+        return shrink_to_target(record, holder, need.in_use, long_fraction)
     if record.holders[holder].target is not None:
         record = _with_row(record, holder, target=None)
     wanted_total = min(record.limit, max(need.total, base))
     gain = min(record.free, wanted_total - record.holders[holder].total)
     if gain > 0:
-        record = _grow(record, holder, gain, long_fraction)
+        record = _add_units(record, holder, gain, long_fraction)
     row = record.holders[holder]
     wanted = _wanted(row, wanted_total)
     if wanted != row.wanted:
         record = _with_row(record, holder, wanted=wanted)
     if wanted:
         return record
-    return _lend(record, holder, need.total, base, long_fraction, reachable)
+    return _transfer_idle_units(
+        record, holder, need.total, base, long_fraction, reachable
+    )
 
 
-def leave(record: LimitRecord, holder: str) -> LimitRecord:
+def remove_holder(record: LimitRecord, holder: str) -> LimitRecord:
     """Remove a holder that has stopped using its units."""
     holders = {h: row for h, row in record.holders.items() if h != holder}
     return record.model_copy(update={"holders": holders})
@@ -388,13 +394,13 @@
     if absence.replaced_ms is not None:
         replaced_wait_ms = fence_ms * (1 + CLOCK_RATE_MARGIN)
         if now_ms - absence.replaced_ms >= replaced_wait_ms:
-            return leave(record, holder)
+            return remove_holder(record, holder)
     if absence.missing_ms is None:
         return record
     if now_ms - absence.missing_ms >= long_wait_ms:
-        return leave(record, holder)
+        return remove_holder(record, holder)
     if now_ms - absence.missing_ms < short_wait_ms:
         return record
     if not row.long:
-        return leave(record, holder)
+        return remove_holder(record, holder)
     return _with_row(record, holder, short=0, wanted=0) if row.short else record
--- a/src/cranberrywheel/process/request_flow.py
+++ b/src/cranberrywheel/process/request_handler.py
@@ -31,7 +31,7 @@
 _log = PartLogger("request")
 
 
-class RequestFlow:
+class RequestHandler:
     """Handles callers' messages; part of the dispatcher task.
 
     :param state: the dispatcher's state.
--- a/src/cranberrywheel/process/store_reader.py
+++ b/src/cranberrywheel/process/store_reader.py
@@ -16,9 +16,13 @@
     Registration,
     parse_registration,
 )
-from cranberrywheel.process.messages import InstancesListed, PoolRow, PoolsChanged
+from cranberrywheel.process.messages import (
+    InstancesListed,
+    PoolAssignment,
+    PoolsChanged,
+)
+from cranberrywheel.process.quota_manager import LIMITS_PREFIX
 from cranberrywheel.process.record_writer import Backoff
-from cranberrywheel.process.unit_keeper import LIMITS_PREFIX
 from cranberrywheel.settings import EntrySettings
 from cranberrywheel.version.adoption import CONFIGURATION_KEY
 from cranberrywheel.version.records import parse_record
@@ -68,7 +72,7 @@
             f"Record {record.key} is malformed: {first['msg']}.",
             "Let the zone's planner write it again.",
         ) from None
-    rows = tuple(PoolRow(w, r.pool, r.state) for w, r in body.instances.items())
+    rows = tuple(PoolAssignment(w, r.pool, r.state) for w, r in body.instances.items())
     zone = record.key.removeprefix(POOLS_PREFIX)
     return PoolsChanged(zone, record.revision, rows, stored.body)
 
--- a/src/cranberrywheel/process/store_session.py
+++ b/src/cranberrywheel/process/store_session.py
@@ -23,16 +23,16 @@
 from cranberrywheel.process.exchange import PeerExchange
 from cranberrywheel.process.membership import ENTRIES_PREFIX, dump_registration
 from cranberrywheel.process.messages import (
-    ApplyText,
-    GrantKey,
-    HoldRenewed,
+    ApplyConfiguration,
+    CreateKey,
+    QuotaDemand,
+    QuotaLeaseRenewed,
+    RevokeKey,
     Stop,
-    UnitsWanted,
-    WithdrawKey,
 )
+from cranberrywheel.process.quota_manager import QuotaManager
 from cranberrywheel.process.record_writer import Backoff, RecordWriter
 from cranberrywheel.process.store_reader import LimitsListed, StoreReader
-from cranberrywheel.process.unit_keeper import UnitKeeper
 from cranberrywheel.settings import EntrySettings, PlatformSettings
 
 #: Longest wait for a message before the session looks for due work.
@@ -134,7 +134,7 @@
         peers: PeerExchange,
         make_client: t.Callable[[PlatformSettings], StoreClient] = StoreClient,
     ) -> None:
-        #: Takes ApplyText, GrantKey, WithdrawKey, UnitsWanted and Stop.
+        #: Takes ApplyConfiguration, CreateKey, RevokeKey, QuotaDemand and Stop.
         self.inbox: queue.SimpleQueue[object] = queue.SimpleQueue()
         self._clock = clock
         self._to_dispatcher = to_dispatcher
@@ -146,7 +146,7 @@
         writer = RecordWriter(self._client, peers.process_id)
         self._lease = Lease(settings, clock, self._client, peers)
         self._changes = ConfigurationWriter(settings, peers, writer, self._random)
-        self._units = UnitKeeper(
+        self._units = QuotaManager(
             settings.limits,
             peers.registration,
             self._client,
@@ -202,17 +202,17 @@
 
     def _handle(self, message: object) -> None:
         now_ms = self._clock.now_ms()
-        if isinstance(message, ApplyText):
+        if isinstance(message, ApplyConfiguration):
             self._changes.apply_text(message, now_ms)
-        elif isinstance(message, GrantKey):
+        elif isinstance(message, CreateKey):
             self._changes.grant_key(message, now_ms)
-        elif isinstance(message, WithdrawKey):
+        elif isinstance(message, RevokeKey):
             registered = self._lease.revision > 0
             self._changes.withdraw_key(message, now_ms, registered)
-        elif isinstance(message, UnitsWanted):
-            self._units.want(message)
+        elif isinstance(message, QuotaDemand):
+            self._units.set_demand(message)
         elif isinstance(message, LimitsListed):
-            self._units.listed(message.records, message.registrations, now_ms)
+            self._units.update_from_list(message.records, message.registrations, now_ms)
 
     def _work(self) -> None:
         now_ms = self._clock.now_ms()
@@ -240,20 +240,20 @@
         revision = self._lease.revision
         if self._joined_revision != revision:
             own = dataclasses.replace(self._peers.registration, revision=revision)
-            self._units.rejoin(own)
+            self._units.reregister(own)
             self._joined_revision = revision
             renewed = True
             _log.event("registered", process=own.process_id, revision=revision)
         if renewed:
-            self._to_dispatcher(HoldRenewed(self._lease.started_ms))
+            self._to_dispatcher(QuotaLeaseRenewed(self._lease.started_ms))
 
     def _refuse_messages(self) -> None:
         while not self.inbox.empty():
             match self.inbox.get():
                 case (
-                    ApplyText(version=future)
-                    | GrantKey(key=future)
-                    | WithdrawKey(result=future)
+                    ApplyConfiguration(version=future)
+                    | CreateKey(key=future)
+                    | RevokeKey(result=future)
                 ):
                     settle(future, error=STOPPING)
 
--- a/src/cranberrywheel/process/worker_reports.py
+++ b/src/cranberrywheel/process/worker_reports.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class TaskRow:
+class TaskStatus:
     """One task that a worker lists.
 
     :param state: ``running``, ``finished``, ``failed`` or ``stopped``.
@@ -43,7 +43,7 @@
     memory_mb: float = 0.0
 
 
-def parse_tasks(body: t.Any) -> tuple[TaskRow, ...]:
+def parse_tasks(body: t.Any) -> tuple[TaskStatus, ...]:
     """Read the answer to ``GET /v1/tasks``.
 
     :param body: ``{"tasks": [...]}`` or the list itself.
@@ -54,7 +54,7 @@
         raise ValueError("no list of tasks")
     try:
         return tuple(
-            TaskRow(
+            TaskStatus(
                 task_id=str(row.get("id") or row.get("task_id") or ""),
                 state=str(row.get("state") or row.get("status") or "running"),
                 queue=str(row.get("queue") or ""),
@@ -104,7 +104,7 @@
         curl.close()
 
 
-class Workers:
+class WorkerClient:
     """Asks several workers at once."""
 
     def __init__(self) -> None:
@@ -112,13 +112,13 @@
 
     def tasks(
         self, addresses_by_name: t.Mapping[str, str]
-    ) -> dict[str, tuple[TaskRow, ...] | None]:
+    ) -> dict[str, tuple[TaskStatus, ...] | None]:
         """Return the tasks of each worker, or ``None`` for one that is silent."""
         answers = self._executor.map(self._tasks, addresses_by_name.values())
         return dict(zip(addresses_by_name, answers, strict=True))
 
     @staticmethod
-    def _tasks(address: str) -> tuple[TaskRow, ...] | None:
+    def _tasks(address: str) -> tuple[TaskStatus, ...] | None:
         body = call_worker(address, "/v1/tasks")
         try:
             return None if body is None else parse_tasks(body)
@@ -135,8 +135,8 @@
         self._executor.shutdown()
 
 
-def report_of(
-    configuration: Configuration, tasks: tuple[TaskRow, ...] | None
+def summarize_worker(
+    configuration: Configuration, tasks: tuple[TaskStatus, ...] | None
 ) -> WorkerReport:
     """Summarize the tasks of a worker.
 
@@ -161,7 +161,7 @@
     )
 
 
-class UsageBook:
+class UsageEstimator:
     """Learns the mean number of running requests per queue in one zone."""
 
     def __init__(self) -> None:
@@ -169,7 +169,9 @@
         self._busy_by_queue: dict[str, float] = {}
         self._sizes_by_queue: dict[str, tuple[float, float]] = {}
 
-    def sample(self, tasks_by_name: t.Mapping[str, tuple[TaskRow, ...] | None]) -> None:
+    def sample(
+        self, tasks_by_name: t.Mapping[str, tuple[TaskStatus, ...] | None]
+    ) -> None:
         """Add one sample of all workers of the zone."""
         running: collections.Counter[str] = collections.Counter()
         for tasks in tasks_by_name.values():
--- a/src/cranberrywheel/process/worker_state.py
+++ b/src/cranberrywheel/process/worker_state.py
@@ -83,7 +83,7 @@
         """Return the slots that count as used."""
         return self.own_in_flight + self.peer_in_flight + self.penalties
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether it may get work and has a free slot, apart from its health."""
         listed = self.listed and self.row.serving and not self.leaving
         return listed and self.load() < self.row.slots
--- a/src/cranberrywheel/process/worker_table.py
+++ b/src/cranberrywheel/process/worker_table.py
@@ -176,7 +176,7 @@
                 return chosen.row
         return None
 
-    def has_room(self, pool: str, now_ms: int) -> bool:
+    def has_capacity(self, pool: str, now_ms: int) -> bool:
         """Tell whether :meth:`choose` would find a worker for a first attempt.
 
         :param pool: pool name.
@@ -227,7 +227,7 @@
         self._refresh(found)
         self._forget_if_unused(found)
 
-    def excuse(self, workers: t.Iterable[str], now_ms: int) -> None:
+    def retract_failures(self, workers: t.Iterable[str], now_ms: int) -> None:
         """Take back one failure of each worker, because the request was the cause.
 
         :param workers: workers on which the request failed.
@@ -287,15 +287,15 @@
     def _refresh(self, worker: WorkerState) -> None:
         """Put a worker into the lists that its state allows."""
         pool = self._pool(worker.row.pool)
-        has_room = worker.has_room()
+        has_capacity = worker.has_capacity()
         group = pool.near if worker.row.zone == self._zone else pool.far
-        if has_room and worker.ejected_until_ms is None:
+        if has_capacity and worker.ejected_until_ms is None:
             group.add(worker)
         else:
             group.discard(worker)
         if worker.ejected_until_ms is None or worker.probing:
             pool.probes.discard(worker)
-        elif worker in pool.probes and not has_room:
+        elif worker in pool.probes and not has_capacity:
             self._schedule_probe(worker, worker.ejected_until_ms + FIRST_BACKOFF_MS)
 
     def _forget_if_unused(self, worker: WorkerState) -> None:
@@ -312,7 +312,7 @@
             due_ms, _, worker = heapq.heappop(self._probe_times)
             if worker.ejected_until_ms != due_ms or worker.probing:
                 continue
-            if worker.has_room():
+            if worker.has_capacity():
                 self._pool(worker.row.pool).probes.add(worker)
             else:
                 self._schedule_probe(worker, now_ms + FIRST_BACKOFF_MS)
--- a/src/cranberrywheel/programs/planner.py
+++ b/src/cranberrywheel/programs/planner.py
@@ -6,7 +6,7 @@
 
 from cranberrywheel.connection.store_client import StoreClient
 from cranberrywheel.process.planner import Planner
-from cranberrywheel.process.worker_reports import Workers
+from cranberrywheel.process.worker_reports import WorkerClient
 from cranberrywheel.programs.console import DaemonCommand, run_daemon
 from cranberrywheel.settings import load_planner_settings
 
@@ -21,7 +21,7 @@
         stop = threading.Event()
 
         def run() -> None:
-            client, workers = StoreClient(settings.platform), Workers()
+            client, workers = StoreClient(settings.platform), WorkerClient()
             Planner(settings, client, workers).run(stop)
             workers.close()
             client.close()
--- a/src/cranberrywheel_load/bench_schedulers.py
+++ b/src/cranberrywheel_load/bench_schedulers.py
@@ -72,7 +72,7 @@
 
     def start(self, now_ms: int) -> tuple[Request, str] | None:
         """Return the next request to start and its worker."""
-        if not self._table.has_room(POOL, now_ms):
+        if not self._table.has_capacity(POOL, now_ms):
             return None
         limit = LIMIT_FRACTION * CAPACITY
         request = self._queue.pop(
@@ -108,7 +108,7 @@
             failed = self._failed_workers.setdefault(request.request_id, [])
             failed.append(worker)
             if blames_request(failed):
-                self._table.excuse(failed, now_ms)
+                self._table.retract_failures(failed, now_ms)
         else:
             self._failed_workers.pop(request.request_id, None)
 
--- a/src/cranberrywheel_load/decision_cost.py
+++ b/src/cranberrywheel_load/decision_cost.py
@@ -116,7 +116,7 @@
         self.budget.note_request(now_ms)
         self.estimates.wait_ms("queue", 100, len(self.queue), SLOTS)
         self.queue.push(make_request(number, self.arriving_team(number), now_ms))
-        self.table.has_room("pool", now_ms)
+        self.table.has_capacity("pool", now_ms)
         request = self.queue.pop(
             now_ms,
             self.shares,
--- a/src/cranberrywheel_load/entries.py
+++ b/src/cranberrywheel_load/entries.py
@@ -6,18 +6,18 @@
 
 from cranberrywheel.clock import ManualClock
 from cranberrywheel.process.exchange import PeerExchange
-from cranberrywheel.process.limit_units import UnitLedger
 from cranberrywheel.process.messages import (
-    ApplyText,
+    ApplyConfiguration,
     ConfigurationAdopted,
-    GrantKey,
-    HoldRenewed,
-    ProofTaken,
-    ReleaseUnits,
-    UnitsHeld,
-    UnitsWanted,
-    WithdrawKey,
+    CreateKey,
+    FreshnessProven,
+    QuotaDemand,
+    QuotaLeaseRenewed,
+    QuotaUnitsHeld,
+    ReleaseQuotaUnits,
+    RevokeKey,
 )
+from cranberrywheel.process.quota_units import QuotaLedger
 from cranberrywheel.process.store_session import StoreSession
 from cranberrywheel.settings import EntrySettings, LimitSettings, PlatformSettings
 from cranberrywheel.version.freshness import FreshnessTracker
@@ -49,7 +49,7 @@
             platform=PlatformSettings(url="http://127.0.0.1:1"),
             limits=group.limits,
         )
-        self.ledger = UnitLedger(group.limits)
+        self.ledger = QuotaLedger(group.limits)
         self.freshness = FreshnessTracker()
         #: Adopted configuration versions, and all messages to the dispatcher.
         self.versions: list[int] = []
@@ -78,13 +78,15 @@
         """Handle one message as the dispatcher does."""
         self.messages.append(message)
         match message:
-            case UnitsHeld(team, long_units, short_units):
+            case QuotaUnitsHeld(team, long_units, short_units):
                 self.ledger.set_held(team, long_units, short_units)
-            case HoldRenewed(started_ms):
-                self.ledger.renewed(started_ms)
-            case ReleaseUnits(team, long_units, short_units, released):
-                released.set_result(self.ledger.release(team, long_units, short_units))
-            case ProofTaken(taken_ms):
+            case QuotaLeaseRenewed(started_ms):
+                self.ledger.note_lease_renewal(started_ms)
+            case ReleaseQuotaUnits(team, long_units, short_units, released):
+                released.set_result(
+                    self.ledger.release_units(team, long_units, short_units)
+                )
+            case FreshnessProven(taken_ms):
                 self.freshness.proven(taken_ms)
             case ConfigurationAdopted(snapshot):
                 self.versions.append(snapshot.version)
@@ -102,7 +104,7 @@
             return
         self._run_tasks()
         in_use = self.ledger.in_use_by_team()
-        self.session.step(UnitsWanted(in_use, dict(self.waiting_by_team)))
+        self.session.step(QuotaDemand(in_use, dict(self.waiting_by_team)))
         self.session.reader.step()
         while not self.session.inbox.empty():
             self.session.step(self.session.inbox.get())
@@ -114,12 +116,12 @@
         for request_id, lease_end_ms in list(self.tasks.items()):
             if lease_end_ms <= now_ms:
                 self.finish(request_id)
-            elif self.ledger.may_renew(request_id, now_ms):
+            elif self.ledger.has_valid_unit(request_id, now_ms):
                 self.tasks[request_id] = end_ms
         for team, waiting in self.waiting_by_team.items():
             for _ in range(waiting):
                 request_id = f"{self.process_id}/{self._started}"
-                if not self.ledger.take(team, request_id, now_ms):
+                if not self.ledger.acquire_unit(team, request_id, now_ms):
                     break
                 self._started += 1
                 self.waiting_by_team[team] -= 1
@@ -128,7 +130,7 @@
     def finish(self, request_id: str) -> None:
         """End a running request."""
         del self.tasks[request_id]
-        self.ledger.give_back(request_id)
+        self.ledger.free_unit(request_id)
 
     def ask(self, kind: t.Callable[..., object], *fields: t.Any) -> t.Any:
         """Send an operator's request; its future is the last field."""
@@ -138,19 +140,19 @@
 
     def apply(self, text: str, expected_text_version: int) -> t.Any:
         """Apply an operators' text; returns the future of its version."""
-        return self.ask(ApplyText, text, expected_text_version)
+        return self.ask(ApplyConfiguration, text, expected_text_version)
 
     def grant(self, team: str) -> t.Any:
         """Grant a key; returns the future of the key."""
-        return self.ask(GrantKey, team)
+        return self.ask(CreateKey, team)
 
     def withdraw(self, key_id: str) -> t.Any:
         """Withdraw a key; returns the future of the result."""
-        return self.ask(WithdrawKey, key_id)
+        return self.ask(RevokeKey, key_id)
 
     def usable(self, team: str) -> int:
         """Return the units of a team on which requests may start now."""
-        return self.ledger.usable(team, self.clock.now_ms())
+        return self.ledger.usable_units(team, self.clock.now_ms())
 
     def is_fresh(self) -> bool:
         """Tell whether authenticated requests are accepted now."""
--- a/src/cranberrywheel_spec/freshness_conformance.py
+++ b/src/cranberrywheel_spec/freshness_conformance.py
@@ -7,7 +7,7 @@
 from cranberrywheel.connection.store_client import Instance, InstanceList, Record
 from cranberrywheel.generated.peer_pb2 import PeerState
 from cranberrywheel.process.exchange import PeerExchange
-from cranberrywheel.process.messages import ProofTaken
+from cranberrywheel.process.messages import FreshnessProven
 from cranberrywheel.settings import EntrySettings, PlatformSettings
 from cranberrywheel.version.adoption import CONFIGURATION_KEY, dump_body
 from cranberrywheel.version.freshness import FreshnessTracker
@@ -78,9 +78,9 @@
         self.version = 0
 
     def _take(self, message: object) -> None:
-        if isinstance(message, ProofTaken):
-            self.tracker.proven(message.taken_ms)
-            self.proof_ms = message.taken_ms - self.start_ms
+        if isinstance(message, FreshnessProven):
+            self.tracker.proven(message.proven_ms)
+            self.proof_ms = message.proven_ms - self.start_ms
 
     def knows(self) -> bool:
         """Tell whether this entry refuses the withdrawn key."""
--- a/src/cranberrywheel_spec/hold_conformance.py
+++ b/src/cranberrywheel_spec/hold_conformance.py
@@ -4,10 +4,10 @@
 import fractions
 import typing as t
 
-from cranberrywheel.process import limit_units
+from cranberrywheel.process import quota_units
 from cranberrywheel.process.limit_record import HolderRow, LimitRecord
-from cranberrywheel.process.limit_units import Absence, UnitLedger
 from cranberrywheel.process.membership import MissingHolders, Registration
+from cranberrywheel.process.quota_units import Absence, QuotaLedger
 from cranberrywheel.settings import LimitSettings
 from cranberrywheel_spec.conformance import ConformanceMachine
 from cranberrywheel_spec.unit_times import (
@@ -55,9 +55,9 @@
     """One unit: the product must use and reclaim it exactly when the model may."""
 
     hold: t.ClassVar[Hold] = SHORT
-    make_ledger: t.ClassVar[type[UnitLedger]] = UnitLedger
+    make_ledger: t.ClassVar[type[QuotaLedger]] = QuotaLedger
     make_missing: t.ClassVar[type[MissingHolders]] = MissingHolders
-    reclaim: t.ClassVar = staticmethod(limit_units.reclaim)
+    reclaim: t.ClassVar = staticmethod(quota_units.reclaim)
 
     def __init__(self) -> None:
         super().__init__()
@@ -74,8 +74,8 @@
         self.ledger = self.make_ledger(_SETTINGS)
         self.ledger.set_held(_TEAM, row.long, row.short)
         self.ledger.set_limit(_TEAM, 1)
-        self.ledger.renewed(0)
-        self.ledger.take(_TEAM, _REQUEST, 0)
+        self.ledger.note_lease_renewal(0)
+        self.ledger.acquire_unit(_TEAM, _REQUEST, 0)
         self.missing = self.make_missing()
         self.sent_ms = 0
 
@@ -140,7 +140,7 @@
         enabled = self.walk.enabled()
         values = self.walk.values
         if values["has_token"] and not values["dead"]:
-            may_use = self.ledger.may_renew(_REQUEST, self._now_ms("holder_s"))
+            may_use = self.ledger.has_valid_unit(_REQUEST, self._now_ms("holder_s"))
             checks = "holder checks unit and sends start" in enabled
             assert may_use == checks, f"ledger says {may_use}"
         if values["record_read"] and values["read_revision"] == values["revision"]:
@@ -166,7 +166,7 @@
         self.sent_ms = self._now_ms("holder_s")
 
     def _holder_gets_answer_to_renewal(self) -> None:
-        self.ledger.renewed(self.sent_ms)
+        self.ledger.note_lease_renewal(self.sent_ms)
 
     def _holder_registers_again(self) -> None:
         self.sent_ms = self._now_ms("holder_s")
@@ -179,10 +179,10 @@
             zone="z1",
             address="1.1.1.1:2",
         )
-        self.record = limit_units.rejoin(self.record, _HOLDER, row)
+        self.record = quota_units.update_registration(self.record, _HOLDER, row)
         row = self.record.holders[_HOLDER]
         self.ledger.set_held(_TEAM, row.long, row.short)
-        self.ledger.renewed(self.sent_ms)
+        self.ledger.note_lease_renewal(self.sent_ms)
 
     def _reclaimer_reads_the_record(self) -> None:
         self.read_record = self.record
@@ -207,6 +207,6 @@
 
     def _reclaimer_writes_the_record(self) -> None:
         absence = Absence(0, 0)
-        self.record = limit_units.reclaim(
+        self.record = quota_units.reclaim(
             self.record, _HOLDER, absence, 10**9, _SETTINGS
         )
--- a/src/cranberrywheel_spec/transfer_conformance.py
+++ b/src/cranberrywheel_spec/transfer_conformance.py
@@ -1,11 +1,11 @@
-"""Compares ``UnitLedger`` and the limit record functions with the transfer model."""
+"""Compares ``QuotaLedger`` and the limit record functions with the transfer model."""
 
 import typing as t
 
 from cranberrywheel.connection.store_client import Record
-from cranberrywheel.process import limit_record, limit_units
+from cranberrywheel.process import limit_record, quota_units
 from cranberrywheel.process.limit_record import HolderRow, LimitRecord
-from cranberrywheel.process.limit_units import Need, UnitLedger
+from cranberrywheel.process.quota_units import QuotaLedger, UnitDemand
 from cranberrywheel.settings import LimitSettings
 from cranberrywheel.version.records import (
     PreparedWrite,
@@ -26,10 +26,10 @@
 class _Holder:
     """One holder: its ledger, view of the record and open messages."""
 
-    def __init__(self, stored: StoredRecord, name: str, ledger: UnitLedger) -> None:
+    def __init__(self, stored: StoredRecord, name: str, ledger: QuotaLedger) -> None:
         self.name, self.ledger = name, ledger
         self.ledger.set_limit(TEAM, 1_000)
-        self.ledger.renewed(0)
+        self.ledger.note_lease_renewal(0)
         self.view = self.read = stored
         self.write: PreparedWrite | None = None
         self.accepted: StoredRecord | None = None
@@ -47,15 +47,15 @@
 class TransferMachine(ConformanceMachine):
     """Two holders move units; the model must allow each write and each count."""
 
-    rebalance: t.ClassVar = staticmethod(limit_units.rebalance)
-    make_ledger: t.ClassVar[type[UnitLedger]] = UnitLedger
+    rebalance: t.ClassVar = staticmethod(quota_units.rebalance)
+    make_ledger: t.ClassVar[type[QuotaLedger]] = QuotaLedger
     resolve: t.ClassVar = staticmethod(resolve_lost_write)
 
     def begin(self) -> None:
         a, b, free = (self.rng.randrange(9) for _ in range(3))
         rows = {}
         for name, total in (("a", a), ("b", b)):
-            long, short = limit_units.split_units(total, 0.5)
+            long, short = quota_units.split_units(total, 0.5)
             rows[name] = HolderRow(
                 long=long,
                 short=short,
@@ -100,7 +100,7 @@
     def _check(self) -> None:
         used = 0
         for name, holder in self.holders_by_name.items():
-            usable = holder.ledger.usable(TEAM, 0)
+            usable = holder.ledger.usable_units(TEAM, 0)
             assert usable == self.walk.values[f"usable_{name}"], (name, usable)
             used += holder.ledger.in_use_by_team().get(TEAM, 0)
         assert used <= self.limit
@@ -112,13 +112,13 @@
             return
         other = HOLDERS[name == "a"]
         before = limit_record.parse(holder.view.body)
-        need = Need(holder.ledger.in_use_by_team().get(TEAM, 0), waiting)
+        need = UnitDemand(holder.ledger.in_use_by_team().get(TEAM, 0), waiting)
         after = self.rebalance(before, name, need, self.limit // 2, 0.5, {other})
         if after == before:
             return
         old, new = before.holders[name], after.holders[name]
         out = max(0, old.long - new.long), max(0, old.short - new.short)
-        if holder.ledger.release(TEAM, *out) != out:
+        if holder.ledger.release_units(TEAM, *out) != out:
             holder.ledger.set_held(TEAM, old.long, old.short)
             return
         body = limit_record.dump(after)
@@ -174,9 +174,9 @@
     def start_request(self, name: str) -> None:
         holder = self.holders_by_name[name]
         holder.requests += 1
-        holder.ledger.take(TEAM, f"{name}{holder.requests}", 0)
+        holder.ledger.acquire_unit(TEAM, f"{name}{holder.requests}", 0)
         self._check()
 
     def finish_request(self, name: str) -> None:
         number = self.rng.choice(range(1, 9))
-        self.holders_by_name[name].ledger.give_back(f"{name}{number}")
+        self.holders_by_name[name].ledger.free_unit(f"{name}{number}")
--- a/tests/dispatcher_fakes.py
+++ b/tests/dispatcher_fakes.py
@@ -111,9 +111,9 @@
         self.post(
             m.ConfigurationAdopted(snapshot),
             m.InstancesListed(InstanceList(1, 0, rows)),
-            m.ProofTaken(self.clock.now_ms()),
-            m.HoldRenewed(self.clock.now_ms()),
-            m.UnitsHeld("red", long_units, short_units),
+            m.FreshnessProven(self.clock.now_ms()),
+            m.QuotaLeaseRenewed(self.clock.now_ms()),
+            m.QuotaUnitsHeld("red", long_units, short_units),
         )
 
     def _forward(self, address, incoming, timeout_ms):
@@ -124,14 +124,14 @@
     def post(self, *messages):
         for message in messages:
             self.dispatcher.post(message)
-        self.dispatcher.turn()
+        self.dispatcher.run_once()
 
     def advance(self, duration_ms):
         """Move the clock in steps; keep keys fresh, units held, tokens given."""
         for _ in range(0, duration_ms, 100):
             self.clock.advance(100)
             now_ms = self.clock.now_ms()
-            self.post(m.ProofTaken(now_ms), m.HoldRenewed(now_ms))
+            self.post(m.FreshnessProven(now_ms), m.QuotaLeaseRenewed(now_ms))
             self.give_tokens()
 
     def submit(self, request_id, queue="lookups", ticket="", key=None, **changes):
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -180,7 +180,7 @@
         ((address, incoming, forward),) = self.bench.forwarded
         self.assertEqual(("h:2", True), (address, incoming.forwarded))
         forward.set_exception(ConnectionError())
-        self.bench.dispatcher.turn()
+        self.bench.dispatcher.run_once()
         self.assert_refused(future, "unknown-outcome", Outcome.UNKNOWN)
 
     def test_non_idempotent_queue_needs_a_ticket(self):
@@ -190,7 +190,7 @@
         self.assertEqual([], self.bench.starts())
 
     def test_withdrawn_key_stops_at_once(self):
-        self.bench.post(m.MarkWithdrawn(self.bench.key_id))
+        self.bench.post(m.KeyRevoked(self.bench.key_id))
         self.assert_refused(self.bench.submit("a"), "unauthorized")
 
     def test_keys_that_are_not_fresh_pause_keyed_queues_but_not_open_ones(self):
@@ -267,7 +267,7 @@
         ((_, incoming, forward),) = self.bench.forwarded
         forward.set_result(problem_answer(incoming.request_id, NotReadyError("x")))
         self.bench.post()
-        self.bench.dispatcher.turn()
+        self.bench.dispatcher.run_once()
         self.assertEqual(1, sum(future.done() for future in futures))
 
     def test_refused_payment_between_attempts_ends_with_its_caller(self):
@@ -285,7 +285,7 @@
         self.bench.submit("a", "payments", ticket)
         (start,) = self.bench.starts()
         self.bench.end(start)
-        self.bench.post(m.MarkWithdrawn(self.bench.key_id))
+        self.bench.post(m.KeyRevoked(self.bench.key_id))
         future = self.bench.submit("b", "payments", ticket)
         self.assert_refused(future, "unauthorized", Outcome.UNKNOWN)
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -12,8 +12,8 @@
     parse_registration,
 )
 from cranberrywheel.process.messages import (
+    KeyRevoked,
     LoadReport,
-    MarkWithdrawn,
     PeerLoad,
     PeerLost,
     PeerReport,
@@ -139,11 +139,11 @@
         answer = a.withdraw(key_id)
         self.assertFalse(answer.done())
         exchange_once(c, b)
-        self.assertEqual([], self.received(c, MarkWithdrawn))
+        self.assertEqual([], self.received(c, KeyRevoked))
         exchange_once(b, a)
         exchange_once(c, b)
         for entry in (a, b, c):
-            self.assertIn(MarkWithdrawn(key_id), entry.messages)
+            self.assertIn(KeyRevoked(key_id), entry.messages)
         group.run(6_000)
         result = answer.result(0)
         self.assertFalse(result["stored"])
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -6,11 +6,11 @@
 from cranberrywheel.process.disruptions import Disruptions
 from cranberrywheel.process.record_store import RecordStore
 from cranberrywheel.process.worker_reports import (
-    TaskRow,
-    UsageBook,
+    TaskStatus,
+    UsageEstimator,
     parse_tasks,
-    report_of,
     sum_usage,
+    summarize_worker,
 )
 
 MINUTE_MS = 60_000
@@ -51,7 +51,7 @@
         # Guards against a reboot that interrupts running work.
         self.deployment.rounds(self.planner, 1)
         held = min(n for n in self.deployment.states() if n.startswith("a"))
-        job = TaskRow(task_id="t", state="running", queue="qa")
+        job = TaskStatus(task_id="t", state="running", queue="qa")
         self.deployment.workers.tasks_by_name = {held: (job,)}
         self.deployment.rounds(self.planner, 300, MINUTE_MS)
         self.assertNotIn((held, "reboot"), self.client.actions)
@@ -62,7 +62,7 @@
     def test_drain_checkpoints_work_that_can_be(self):
         self.deployment.rounds(self.planner, 1)
         held = min(n for n in self.deployment.states() if n.startswith("b"))
-        job = TaskRow(task_id="t", state="running", queue="qb")
+        job = TaskStatus(task_id="t", state="running", queue="qb")
         self.deployment.workers.tasks_by_name = {held: (job,)}
         self.deployment.rounds(self.planner, 3)
         self.assertEqual([(held, "t")], self.deployment.workers.checkpoints)
@@ -95,7 +95,7 @@
         self.assertNotEqual(set(), draining)
         self.deployment.clock.advance(20_000)
         other, other_client = self.deployment.planner(instance="p2")
-        job = TaskRow(task_id="t", state="running", queue="qa")
+        job = TaskStatus(task_id="t", state="running", queue="qa")
         self.deployment.workers.tasks_by_name = dict.fromkeys(draining, (job,))
         self.deployment.rounds(other, 1)
         # The platform sees the new fence for all instances of the zone.
@@ -215,7 +215,7 @@
             self.assertEqual(confirmed, bool(client.actions))
 
     def test_worker_that_fails_everything_is_quarantined(self):
-        bad = tuple(TaskRow(task_id=f"t{n}", state="failed") for n in range(5))
+        bad = tuple(TaskStatus(task_id=f"t{n}", state="failed") for n in range(5))
         self.deployment.workers.tasks_by_name = {"a2": bad}
         self.deployment.rounds(self.planner, 1)
         self.assertEqual(("a", "quarantined"), self.deployment.states()["a2"])
@@ -266,16 +266,16 @@
             {"id": "1", "state": "running", "queue": "qa", "deadline_ms": 7_200_000},
             {"id": "2", "state": "running", "queue": "qb", "deadline_ms": 9_000_000},
         ]
-        report = report_of(configuration, parse_tasks({"tasks": rows}))
+        report = summarize_worker(configuration, parse_tasks({"tasks": rows}))
         self.assertEqual((2, 7_200_000), (report.running, report.drain_ms))
-        self.assertFalse(report_of(configuration, None).reachable)
+        self.assertFalse(summarize_worker(configuration, None).reachable)
         for body in ({}, {"tasks": [3]}, "x"):
             self.assertRaises(ValueError, parse_tasks, body)
 
     def test_usage_of_zones_adds_up(self):
         configuration = Deployment(text()).configuration
-        book = UsageBook()
-        row = TaskRow(task_id="1", state="running", queue="qa", cores=2, memory_mb=9)
+        book = UsageEstimator()
+        row = TaskStatus(task_id="1", state="running", queue="qa", cores=2, memory_mb=9)
         for sample in range(40):
             book.sample({"a1": (row, row) if sample % 2 else ()})
         body = book.to_body(NOW_MS)
--- a/tests/test_unit_keeper.py
+++ b/tests/test_quota_manager.py
@@ -89,7 +89,7 @@
         b.waiting_by_team = {"t": 9}
         group.run(6_000)
         self.assertEqual(3, a.usable("t"))
-        a.session._units.listed(old, [], group.clock.now_ms())
+        a.session._units.update_from_list(old, [], group.clock.now_ms())
         self.assertEqual(3, a.usable("t"))
 
     def test_reclaim_checked_against_a_registration_that_came_back(self):
--- a/tests/test_limit_units.py
+++ b/tests/test_quota_units.py
@@ -3,9 +3,9 @@
 from hypothesis import strategies as st
 
 from cranberrywheel.errors import StoreError
-from cranberrywheel.process import limit_record, limit_units
+from cranberrywheel.process import limit_record, quota_units
 from cranberrywheel.process.limit_record import HolderRow, LimitRecord
-from cranberrywheel.process.limit_units import Absence, Need, UnitLedger
+from cranberrywheel.process.quota_units import Absence, QuotaLedger, UnitDemand
 from cranberrywheel.settings import LimitSettings
 
 SETTINGS = LimitSettings(short_hold_ms=90_000)
@@ -28,17 +28,17 @@
 class UnitLedgerTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.ledger = UnitLedger(SETTINGS)
+        self.ledger = QuotaLedger(SETTINGS)
         self.ledger.set_limit("t", 10)
         self.ledger.set_held("t", 2, 3)
 
     def test_hold_times(self):
         """Units must expire by the own clock although nobody says so."""
-        self.assertEqual(0, self.ledger.usable("t", 0))
-        self.ledger.renewed(1_000)
-        self.ledger.renewed(500)
+        self.assertEqual(0, self.ledger.usable_units("t", 0))
+        self.ledger.note_lease_renewal(1_000)
+        self.ledger.note_lease_renewal(500)
         usable = {
-            at_ms: self.ledger.usable("t", 1_000 + at_ms)
+            at_ms: self.ledger.usable_units("t", 1_000 + at_ms)
             for at_ms in (0, 59_999, 60_000, 3_899_999, 3_900_000)
         }
         expected = {0: 5, 59_999: 5, 60_000: 2, 3_899_999: 2, 3_900_000: 0}
@@ -46,44 +46,44 @@
 
     def test_running_requests_lose_short_units_first_started_last(self):
         """Long units must carry requests through an outage."""
-        self.ledger.renewed(0)
-        taken = [self.ledger.take("t", f"r{n}", 0) for n in range(6)]
+        self.ledger.note_lease_renewal(0)
+        taken = [self.ledger.acquire_unit("t", f"r{n}", 0) for n in range(6)]
         self.assertEqual([True] * 5 + [False], taken)
 
         def renewable(now_ms):
-            return [n for n in range(5) if self.ledger.may_renew(f"r{n}", now_ms)]
+            return [n for n in range(5) if self.ledger.has_valid_unit(f"r{n}", now_ms)]
 
         self.assertEqual([0, 1, 2, 3, 4], renewable(89_999))
         self.assertEqual([0, 1], renewable(90_000))
-        self.ledger.give_back("r0")
+        self.ledger.free_unit("r0")
         self.assertEqual([1, 2], renewable(90_000))
         self.assertEqual([], renewable(3_900_000))
-        self.assertFalse(self.ledger.may_renew("unknown", 0))
+        self.assertFalse(self.ledger.has_valid_unit("unknown", 0))
 
     def test_release_spares_units_in_use(self):
         """A unit with a running request must not be given to another entry."""
-        self.ledger.renewed(0)
+        self.ledger.note_lease_renewal(0)
         for n in range(3):
-            self.ledger.take("t", f"r{n}", 0)
-        self.assertEqual((0, 2), self.ledger.release("t", 2, 3))
-        self.assertFalse(self.ledger.take("t", "r3", 0))
+            self.ledger.acquire_unit("t", f"r{n}", 0)
+        self.assertEqual((0, 2), self.ledger.release_units("t", 2, 3))
+        self.assertFalse(self.ledger.acquire_unit("t", "r3", 0))
         self.assertEqual({"t": 3}, self.ledger.in_use_by_team())
 
     def test_lowered_limit_holds_for_new_starts_at_once(self):
         """Other holders scale down too; waiting for the record would exceed."""
-        self.ledger.renewed(0)
+        self.ledger.note_lease_renewal(0)
         for n in range(4):
-            self.ledger.take("t", f"r{n}", 0)
+            self.ledger.acquire_unit("t", f"r{n}", 0)
         self.ledger.set_limit("t", 6)
-        self.assertEqual(3, self.ledger.usable("t", 0))
-        self.assertTrue(self.ledger.may_renew("r3", 0))
+        self.assertEqual(3, self.ledger.usable_units("t", 0))
+        self.assertTrue(self.ledger.has_valid_unit("r3", 0))
         self.ledger.set_limit("t", 2)
-        self.assertEqual(1, self.ledger.usable("t", 0))
+        self.assertEqual(1, self.ledger.usable_units("t", 0))
         self.ledger.set_limit("t", 10)
-        self.assertEqual(5, self.ledger.usable("t", 0))
+        self.assertEqual(5, self.ledger.usable_units("t", 0))
         self.ledger.set_limit("t", 5)
         # Without the expired short units; others may have reclaimed them.
-        self.assertEqual(1, self.ledger.usable("t", 60_000))
+        self.assertEqual(1, self.ledger.usable_units("t", 60_000))
 
 
 class LimitRecordTest(testtools.TestCase):
@@ -102,10 +102,10 @@
         for version, (holder, in_use, waiting, limit) in enumerate(steps, 2):
             before = record
             if in_use == 0:
-                record = limit_units.set_limit(record, limit, version)
+                record = quota_units.set_limit(record, limit, version)
                 self.assertEqual(before.total, record.total)
-            need = Need(min(in_use, record.holders[holder].total), waiting)
-            record = limit_units.rebalance(record, holder, need, 3, fraction, HOLDERS)
+            need = UnitDemand(min(in_use, record.holders[holder].total), waiting)
+            record = quota_units.rebalance(record, holder, need, 3, fraction, HOLDERS)
             self.assertLessEqual(record.total, max(before.total, record.limit))
             if before.total > record.limit:
                 self.assertLessEqual(record.total, before.total)
@@ -120,24 +120,24 @@
         """Rounding per holder must not exceed the limit or waste it."""
         holders = {"a": row(3, 3), "b": row(2, 2), "c": row(1, 1)}
         record = LimitRecord(limit=12, limit_version=1, holders=holders)
-        record = limit_units.set_limit(record, 5, 2)
-        self.assertEqual(record, limit_units.set_limit(record, 12, 1))
+        record = quota_units.set_limit(record, 5, 2)
+        self.assertEqual(record, quota_units.set_limit(record, 12, 1))
         for holder in "abc":
-            record = limit_units.rebalance(record, holder, Need(0, 9), 1, 0.5)
+            record = quota_units.rebalance(record, holder, UnitDemand(0, 9), 1, 0.5)
         self.assertEqual(5, record.total)
 
     def test_lends_only_to_reachable_holders(self):
         """Units lent to a holder that failed are lost for the long hold."""
         holders = {"a": row(6, 6), "b": row(wanted=8), "c": row(wanted=8)}
         record = LimitRecord(limit=12, limit_version=1, holders=holders)
-        lent = limit_units.rebalance(record, "a", Need(2, 0), 4, 0.5, {"c"})
+        lent = quota_units.rebalance(record, "a", UnitDemand(2, 0), 4, 0.5, {"c"})
         totals = [lent.holders[h].total for h in "abc"]
         self.assertEqual([4, 0, 8], totals)
 
     def reclaimed(self, missing_ms, replaced_ms, now_ms):
         record = LimitRecord(limit=12, limit_version=1, holders={"a": row(2, 3)})
         absence = Absence(missing_ms, replaced_ms)
-        return limit_units.reclaim(record, "a", absence, now_ms, SETTINGS).free
+        return quota_units.reclaim(record, "a", absence, now_ms, SETTINGS).free
 
     def test_reclaim_waits_for_hold_token_and_task_lease(self):
         """An earlier reclaim would let two entries use the same unit."""
--- a/tests/test_sharing_network.py
+++ b/tests/test_sharing_network.py
@@ -11,7 +11,12 @@
 from cranberrywheel.clock import Clock
 from cranberrywheel.connection.store_client import StoreClient
 from cranberrywheel.errors import StoreConflictError, StoreUnavailableError
-from cranberrywheel.process.messages import ApplyText, GrantKey, Stop, WithdrawKey
+from cranberrywheel.process.messages import (
+    ApplyConfiguration,
+    CreateKey,
+    RevokeKey,
+    Stop,
+)
 from cranberrywheel.process.store_session import StoreSession
 from cranberrywheel.settings import PlatformSettings
 from cranberrywheel_standin.platform import Faults, Platform, PlatformApp
@@ -52,9 +57,9 @@
     def test_grant_and_withdrawal_reach_the_other_entry(self):
         """Both must be in force at an entry that did not accept them."""
         a, b = (self.start_entry(n, p) for n, p in enumerate(free_ports(2)))
-        self.assertEqual(1, self.ask(a, ApplyText, TEXT, 0).result(WAIT_S))
-        key_id = self.ask(b, GrantKey, "t").result(WAIT_S).partition(".")[0]
-        result = self.ask(a, WithdrawKey, key_id).result(WAIT_S)
+        self.assertEqual(1, self.ask(a, ApplyConfiguration, TEXT, 0).result(WAIT_S))
+        key_id = self.ask(b, CreateKey, "t").result(WAIT_S).partition(".")[0]
+        result = self.ask(a, RevokeKey, key_id).result(WAIT_S)
         ids = [a.exchange.process_id, b.exchange.process_id]
         expected = {"stored": True, "confirmed": ids, "unconfirmed": []}
         self.assertEqual(expected, result)
--- a/tests/test_store_session.py
+++ b/tests/test_store_session.py
@@ -9,10 +9,10 @@
     VersionConflictError,
 )
 from cranberrywheel.process.messages import (
-    HoldRenewed,
     InstancesListed,
-    PoolRow,
+    PoolAssignment,
     PoolsChanged,
+    QuotaLeaseRenewed,
 )
 from cranberrywheel.version.adoption import CONFIGURATION_KEY
 from cranberrywheel.version.records import prepare_write
@@ -159,7 +159,9 @@
         (self.a,) = self.group.entries
 
     def renewals(self):
-        return [m.started_ms for m in self.a.messages if isinstance(m, HoldRenewed)]
+        return [
+            m.started_ms for m in self.a.messages if isinstance(m, QuotaLeaseRenewed)
+        ]
 
     def test_renewal_counts_from_before_it_was_sent(self):
         """A slow renewal must not extend the hold time of units."""
@@ -209,7 +211,7 @@
         self.group.platform.set_instance("w1", {"state": "leaving"})
         self.group.run(6_000)
         pools = [m for m in self.a.messages if isinstance(m, PoolsChanged)]
-        rows = (PoolRow("w1", "p", "draining"),)
+        rows = (PoolAssignment("w1", "p", "draining"),)
         self.assertEqual([("z1", rows)], [(m.zone, m.rows) for m in pools])
         listed = [m for m in self.a.messages if isinstance(m, InstancesListed)][-1]
         self.assertTrue(listed.listed.instances[0].leaving)
--- a/tests/test_unit_conformance.py
+++ b/tests/test_unit_conformance.py
@@ -3,26 +3,26 @@
 import testtools
 from hypothesis.stateful import run_state_machine_as_test
 
-from cranberrywheel.process import limit_units
-from cranberrywheel.process.limit_units import UnitLedger
+from cranberrywheel.process import quota_units
 from cranberrywheel.process.membership import MissingHolders
+from cranberrywheel.process.quota_units import QuotaLedger
 from cranberrywheel.version.records import WriteOutcome, resolve_lost_write
 from cranberrywheel_spec.compare import run_settings
 from cranberrywheel_spec.hold_conformance import HoldMachine
 from cranberrywheel_spec.transfer_conformance import TransferMachine
 
 
-class KeepingLedger(UnitLedger):
-    def release(self, team, long_units, short_units):
+class KeepingLedger(QuotaLedger):
+    def release_units(self, team, long_units, short_units):
         held = self._held_by_team[team]
-        out = super().release(team, long_units, short_units)
+        out = super().release_units(team, long_units, short_units)
         self._held_by_team[team] = held
         return out
 
 
-class LongLedger(UnitLedger):
-    def may_renew(self, request_id, now_ms):
-        return super().may_renew(request_id, now_ms - 900)
+class LongLedger(QuotaLedger):
+    def has_valid_unit(self, request_id, now_ms):
+        return super().has_valid_unit(request_id, now_ms - 900)
 
 
 class StillMissingHolders(MissingHolders):
@@ -44,18 +44,18 @@
 
 def rebalance_beyond_limit(record, holder, need, base, fraction, reachable=()):
     record = record.model_copy(update={"limit": record.limit + 1})
-    return limit_units.rebalance(record, holder, need, base, fraction, reachable)
+    return quota_units.rebalance(record, holder, need, base, fraction, reachable)
 
 
 def reclaim_without_rate_margin(record, holder, absence, now_ms, limits):
-    now_ms += int(limits.short_hold_ms * limit_units.CLOCK_RATE_MARGIN)
-    return limit_units.reclaim(record, holder, absence, now_ms, limits)
+    now_ms += int(limits.short_hold_ms * quota_units.CLOCK_RATE_MARGIN)
+    return quota_units.reclaim(record, holder, absence, now_ms, limits)
 
 
 def reclaim_early_after_reuse(record, holder, absence, now_ms, limits):
     if absence.replaced_ms is not None:
         absence = dataclasses.replace(absence, replaced_ms=absence.replaced_ms - 121)
-    return limit_units.reclaim(record, holder, absence, now_ms, limits)
+    return quota_units.reclaim(record, holder, absence, now_ms, limits)
 
 
 class UnitConformanceTest(testtools.TestCase):
--- a/tests/test_worker_table.py
+++ b/tests/test_worker_table.py
@@ -56,12 +56,12 @@
     def test_full_pool_has_no_room(self):
         self.fill(*(f"w{n}" for n in range(7)))
         self.table.set_peer_load("peer", {"w7": 8})
-        self.assertFalse(self.table.has_room("p", 0))
+        self.assertFalse(self.table.has_capacity("p", 0))
         self.assertIs(None, self.choose())
         self.table.drop_peer("peer")
-        self.assertTrue(self.table.has_room("p", 0))
+        self.assertTrue(self.table.has_capacity("p", 0))
         self.assertEqual("w7", self.choose())
-        self.assertFalse(self.table.has_room("other", 0))
+        self.assertFalse(self.table.has_capacity("other", 0))
 
     def test_peer_load_counts_for_workers_listed_later(self):
         self.table.set_peer_load("peer", {"w9": 8})
@@ -137,7 +137,7 @@
         # Guards against a worker that drains during its backoff and never returns.
         for wait_ms in (0, 60_000):
             self.eject_and_wait()
-            self.assertTrue(self.table.has_room("p", self.clock.now_ms()))
+            self.assertTrue(self.table.has_capacity("p", self.clock.now_ms()))
             self.table.set_leaving(["w0"])
             self.clock.advance(wait_ms)
             self.assertNotIn("w0", {self.choose() for _ in range(20)})
@@ -195,14 +195,14 @@
             self.clock.advance(100)
             for worker in ("w0", "w1", "w2"):
                 self.attempt(worker, FAILED)
-            self.table.excuse(["w0", "w1", "w2"], self.clock.now_ms())
+            self.table.retract_failures(["w0", "w1", "w2"], self.clock.now_ms())
             self.assertEqual([], self.table.ejected("p"))
 
     def test_excuse_reinstates_an_ejected_worker(self):
         for worker in ["w0"] * 3 + ["w1", "w2"]:
             self.attempt(worker, FAILED)
         self.assertEqual(["w0"], self.table.ejected("p"))
-        self.table.excuse(["w0", "w1", "w2"], 0)
+        self.table.retract_failures(["w0", "w1", "w2"], 0)
         self.assertEqual([], self.table.ejected("p"))
 
     def test_rebooted_worker_loses_its_health_record(self):
