--- a/src/cranberrywheel/process/caller_api.py
+++ b/src/cranberrywheel/process/caller_api.py
@@ -18,7 +18,7 @@
     UnknownOutcomeError,
     UnknownQueueError,
 )
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.request.model import Answer, Outcome
 from cranberrywheel.request.problem import problem_answer
 from cranberrywheel.settings import EntrySettings
@@ -122,7 +122,7 @@
                 "Request-Timeout-Ms is not a whole number.", "Send milliseconds."
             )
         traceparent = request.headers.get("traceparent", "")
-        incoming = m.IncomingRequest(
+        incoming = messages.IncomingRequest(
             request_id=request_id,
             queue=queue,
             authorization=request.headers.get("Authorization", ""),
@@ -137,12 +137,13 @@
         self._add_next_ticket(response, incoming, answer)
         return response
 
-    def _wait(self, incoming: m.IncomingRequest, connection: t.Any) -> Answer:
+    def _wait(self, incoming: messages.IncomingRequest, connection: t.Any) -> Answer:
         future: Future[Answer] = Future()
-        self._post(m.SubmitRequest(incoming, future))
+        self._post(messages.SubmitRequest(incoming, future))
         if connection is not None:
             self._hangups.watch(
-                connection, lambda: self._post(m.CancelRequest(incoming.request_id))
+                connection,
+                lambda: self._post(messages.CancelRequest(incoming.request_id)),
             )
         try:
             return future.result(timeout=LONGEST_WAIT_S)
@@ -156,7 +157,10 @@
                 self._hangups.unwatch(connection)
 
     def _add_next_ticket(
-        self, response: werkzeug.Response, incoming: m.IncomingRequest, answer: Answer
+        self,
+        response: werkzeug.Response,
+        incoming: messages.IncomingRequest,
+        answer: Answer,
     ) -> None:
         wanted = bool(incoming.idempotency_key) or answer.kind == "ticket-required"
         if not wanted or answer.kind in ("unauthorized", "keys-not-fresh"):
@@ -169,7 +173,7 @@
 
     def _issue(self, authorization: str, queue: str, count: int) -> list[str]:
         tickets: Future[list[str]] = Future()
-        self._post(m.IssueTickets(authorization, queue, count, tickets))
+        self._post(messages.IssueTickets(authorization, queue, count, tickets))
         return tickets.result(timeout=ANSWER_MARGIN_S)
 
     def _tickets(self, request: werkzeug.Request) -> werkzeug.Response:
@@ -190,7 +194,7 @@
 
     def _query(self, ticket: str) -> werkzeug.Response:
         future: Future[Answer] = Future()
-        self._post(m.QueryTicket(ticket, future))
+        self._post(messages.QueryTicket(ticket, future))
         return to_response(future.result(timeout=ANSWER_MARGIN_S))
 
 
--- a/src/cranberrywheel/process/dispatcher.py
+++ b/src/cranberrywheel/process/dispatcher.py
@@ -6,7 +6,7 @@
 
 from cranberrywheel.connection import target_messages
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.process.entry_state import EntryState
 from cranberrywheel.process.long_waits import displace_for_urgent, forward_for_units
 from cranberrywheel.process.placement import Placement
@@ -35,7 +35,7 @@
         self._placement = Placement(state)
         self._flow = self._placement.flow
         self._attempts = self._placement.attempts
-        self._stopping: m.Stop | None = None
+        self._stopping: messages.Stop | None = None
         self._ticks = 0
         self._ejected: set[str] = set()
         self._running = True
@@ -49,28 +49,30 @@
         state = self._state
         tickets = TicketCalls(state)
         return {
-            m.SubmitRequest: self._flow.submit,
-            m.CancelRequest: lambda msg: self._flow.cancel(msg.request_id),
-            m.ForwardFinished: self._flow.forward_finished,
-            m.IssueTickets: tickets.issue,
-            m.QueryTicket: tickets.query,
-            m.ReadStatus: lambda msg: msg.status.set_result(self._status()),
-            m.ReadFleet: lambda msg: msg.fleet.set_result(state.fleet.describe()),
-            m.ConfigurationAdopted: self._adopt,
-            m.FreshnessProven: lambda msg: state.freshness.proven(msg.proven_ms),
-            m.KeyRevoked: lambda msg: state.marked_ids.add(msg.key_id),
-            m.PoolsChanged: state.fleet.set_pools,
-            m.InstancesListed: lambda msg: state.fleet.set_instances(msg.listed),
-            m.QuotaUnitsHeld: self._units_held,
-            m.QuotaLeaseRenewed: lambda msg: state.ledger.note_lease_renewal(
+            messages.SubmitRequest: self._flow.submit,
+            messages.CancelRequest: lambda msg: self._flow.cancel(msg.request_id),
+            messages.ForwardFinished: self._flow.forward_finished,
+            messages.IssueTickets: tickets.issue,
+            messages.QueryTicket: tickets.query,
+            messages.ReadStatus: lambda msg: msg.status.set_result(self._status()),
+            messages.ReadFleet: lambda msg: msg.fleet.set_result(
+                state.fleet.describe()
+            ),
+            messages.ConfigurationAdopted: self._adopt,
+            messages.FreshnessProven: lambda msg: state.freshness.proven(msg.proven_ms),
+            messages.KeyRevoked: lambda msg: state.marked_ids.add(msg.key_id),
+            messages.PoolsChanged: state.fleet.set_pools,
+            messages.InstancesListed: lambda msg: state.fleet.set_instances(msg.listed),
+            messages.QuotaUnitsHeld: self._units_held,
+            messages.QuotaLeaseRenewed: lambda msg: state.ledger.note_lease_renewal(
                 msg.started_ms
             ),
-            m.ReleaseQuotaUnits: self._release_units,
-            m.PeerReport: state.fleet.set_peer,
-            m.PeerLost: lambda msg: state.fleet.drop_peer(msg.process_id),
-            m.ResultsHandedOver: self._results_handed_over,
-            m.ExportResults: self._export_results,
-            m.Stop: self._begin_stop,
+            messages.ReleaseQuotaUnits: self._release_units,
+            messages.PeerReport: state.fleet.set_peer,
+            messages.PeerLost: lambda msg: state.fleet.drop_peer(msg.process_id),
+            messages.ResultsHandedOver: self._results_handed_over,
+            messages.ExportResults: self._export_results,
+            messages.Stop: self._begin_stop,
             target_messages.AttemptFinished: self._attempts.finished,
             target_messages.TokenFetched: self._attempts.token_fetched,
             target_messages.ControlFinished: self._attempts.control_finished,
@@ -122,7 +124,7 @@
     def _now_ms(self) -> int:
         return self._state.clock.now_ms()
 
-    def _adopt(self, message: m.ConfigurationAdopted) -> None:
+    def _adopt(self, message: messages.ConfigurationAdopted) -> None:
         snapshot = message.snapshot
         if self._state.snapshot and snapshot.version <= self._state.snapshot.version:
             return
@@ -145,22 +147,22 @@
         self._flow.drop_removed_queues()
         _log.event("configuration in force", version=snapshot.version)
 
-    def _export_results(self, message: m.ExportResults) -> None:
+    def _export_results(self, message: messages.ExportResults) -> None:
         tickets = self._state.tickets
         own = (self._state.process_id, tickets.export_results(self._now_ms()))
         message.exports.set_result([own, *tickets.export_handed_over()])
 
-    def _results_handed_over(self, message: m.ResultsHandedOver) -> None:
+    def _results_handed_over(self, message: messages.ResultsHandedOver) -> None:
         self._state.tickets.import_results(message.process_id, message.export)
         # Its listener is closed: nothing may be forwarded to it any more.
         self._state.fleet.drop_peer(message.process_id)
 
-    def _units_held(self, message: m.QuotaUnitsHeld) -> None:
+    def _units_held(self, message: messages.QuotaUnitsHeld) -> None:
         self._state.ledger.set_held(
             message.team, message.long_units, message.short_units
         )
 
-    def _release_units(self, message: m.ReleaseQuotaUnits) -> None:
+    def _release_units(self, message: messages.ReleaseQuotaUnits) -> None:
         message.released.set_result(
             self._state.ledger.release_units(
                 message.team, message.long_units, message.short_units
@@ -205,7 +207,7 @@
                 waiting[team] = waiting.get(team, 0) + count
         waiting.pop("", None)
         self._state.links.to_store(
-            m.QuotaDemand(dict(self._state.ledger.in_use_by_team()), waiting)
+            messages.QuotaDemand(dict(self._state.ledger.in_use_by_team()), waiting)
         )
         idle = {
             team: self._state.ledger.idle_units(team, now_ms)
@@ -246,7 +248,7 @@
             "stopping": self._stopping is not None,
         }
 
-    def _begin_stop(self, message: m.Stop) -> None:
+    def _begin_stop(self, message: messages.Stop) -> None:
         self._stopping = message
         self._stop_if_idle()
 
--- a/src/cranberrywheel/process/entry.py
+++ b/src/cranberrywheel/process/entry.py
@@ -11,7 +11,7 @@
 from cranberrywheel.connection.target_client import TargetClient
 from cranberrywheel.errors import CranberrywheelError, SettingsError
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.process.caller_api import CallerApi
 from cranberrywheel.process.dispatcher import Dispatcher
 from cranberrywheel.process.entry_state import Links, create_state
@@ -87,8 +87,8 @@
             clock,
             self._exchange,
             self._submit_forwarded,
-            lambda peer, export: post(m.ResultsHandedOver(peer, export)),
-            lambda request_id: post(m.CancelRequest(request_id)),
+            lambda peer, export: post(messages.ResultsHandedOver(peer, export)),
+            lambda request_id: post(messages.CancelRequest(request_id)),
         )
         self._store = StoreSession(settings, clock, post, self._exchange)
         operators = OperatorApi(
@@ -103,13 +103,15 @@
             settings.max_body_bytes,
         )
 
-    def _submit_forwarded(self, incoming: m.IncomingRequest) -> "Future[Answer]":
+    def _submit_forwarded(self, incoming: messages.IncomingRequest) -> "Future[Answer]":
         answer: Future[Answer] = Future()
         if incoming.query:
-            query = m.QueryTicket(incoming.idempotency_key, answer, forwarded=True)
+            query = messages.QueryTicket(
+                incoming.idempotency_key, answer, forwarded=True
+            )
             self._dispatcher.post(query)
         else:
-            self._dispatcher.post(m.SubmitRequest(incoming, answer))
+            self._dispatcher.post(messages.SubmitRequest(incoming, answer))
         return answer
 
     def is_ready(self) -> bool:
@@ -173,17 +175,17 @@
 
     def _wait_for_requests(self) -> None:
         done: Future[None] = Future()
-        self._dispatcher.post(m.Stop(done))
+        self._dispatcher.post(messages.Stop(done))
         done.result(timeout=self._settings.drain_timeout_ms / 1000)
 
     def _return_units(self) -> None:
         done: Future[None] = Future()
-        self._store.inbox.put(m.Stop(done))
+        self._store.inbox.put(messages.Stop(done))
         done.result(timeout=STORE_STOP_WAIT_S)
 
     def _hand_over(self) -> None:
         exported: Future[list[tuple[str, TicketExport]]] = Future()
-        self._dispatcher.post(m.ExportResults(exported))
+        self._dispatcher.post(messages.ExportResults(exported))
         exports = exported.result(timeout=HAND_OVER_WAIT_S)
         pending: list[tuple[str, t.Any]] = [
             (peer.peer_address, self._peers.hand_over(peer.peer_address, *export))
--- a/src/cranberrywheel/process/entry_state.py
+++ b/src/cranberrywheel/process/entry_state.py
@@ -7,7 +7,7 @@
 from concurrent.futures import Future
 
 from cranberrywheel.clock import Clock
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.process.fleet_view import FleetView
 from cranberrywheel.process.metrics import Metrics
 from cranberrywheel.process.pending import Forward, PendingRequests
@@ -39,7 +39,7 @@
     to_store: t.Callable[[t.Any], None]
     to_peers: t.Callable[[t.Any], None]
     to_self: t.Callable[[t.Any], None]
-    forward: t.Callable[[str, m.IncomingRequest, int], "Future[Answer]"]
+    forward: t.Callable[[str, messages.IncomingRequest, int], "Future[Answer]"]
 
 
 @dataclasses.dataclass(kw_only=True)
--- a/src/cranberrywheel/process/fleet_view.py
+++ b/src/cranberrywheel/process/fleet_view.py
@@ -4,7 +4,7 @@
 import typing as t
 
 from cranberrywheel.connection.store_client import Instance, InstanceList
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.process.worker_table import WorkerRow, WorkerTable
 from cranberrywheel.version.configuration import Configuration
 
@@ -23,12 +23,12 @@
         self._workers = workers
         self._configuration: Configuration | None = None
         self._revision_by_zone: dict[str, int] = {}
-        self._rows_by_zone: dict[str, tuple[m.PoolAssignment, ...]] = {}
+        self._rows_by_zone: dict[str, tuple[messages.PoolAssignment, ...]] = {}
         self._bodies_by_zone: dict[str, dict[str, t.Any]] = {}
         self._listed = InstanceList(0, 0, ())
         self._instances_by_id: dict[str, Instance] = {}
         self._refused_as_leaving: set[str] = set()
-        self._peers_by_id: dict[str, m.PeerReport] = {}
+        self._peers_by_id: dict[str, messages.PeerReport] = {}
         #: Idle units by peer and team, less those used since its last report.
         self._idle_units: dict[tuple[str, str], int] = {}
         self._own_use: dict[tuple[str, str], int] = {}
@@ -49,7 +49,7 @@
         }
         self._refresh_workers()
 
-    def set_pools(self, message: m.PoolsChanged) -> None:
+    def set_pools(self, message: messages.PoolsChanged) -> None:
         """Use a newer ``pools/<zone>`` record; older ones are ignored."""
         zone = message.zone
         if message.revision <= self._revision_by_zone.get(zone, 0):
@@ -82,11 +82,11 @@
         self._refused_as_leaving.add(worker)
         self._set_leaving()
 
-    def _assignments(self) -> dict[str, m.PoolAssignment]:
+    def _assignments(self) -> dict[str, messages.PoolAssignment]:
         """Pool and state per worker: as recorded, else as declared."""
         assert self._configuration is not None
         rows = {
-            w.name: m.PoolAssignment(w.name, w.pool, SERVING)
+            w.name: messages.PoolAssignment(w.name, w.pool, SERVING)
             for w in self._configuration.workers_by_name.values()
             if w.zone not in self._rows_by_zone
         }
@@ -143,7 +143,7 @@
             spare = serving_by_pool.get(pool, 0) - min_healthy
             self._workers.set_ejection_limit(pool, max(0, spare))
 
-    def set_peer(self, report: m.PeerReport) -> None:
+    def set_peer(self, report: messages.PeerReport) -> None:
         """Use a peer's report."""
         old = self._peers_by_id.get(report.process_id)
         self._peers_by_id[report.process_id] = report
@@ -241,7 +241,7 @@
         queued_by_service: t.Mapping[str, t.Mapping[str, int]],
         idle_units_by_team: t.Mapping[str, int],
         stopping: bool,
-    ) -> m.LoadReport:
+    ) -> messages.LoadReport:
         """Build the load part of the next exchange with peers."""
         loads: dict[tuple[str, str], list[int]] = {
             key: [count, 0, 0] for key, count in self._own_use.items() if count
@@ -255,9 +255,9 @@
         own_leaving = {
             i.instance_id for i in self._instances_by_id.values() if i.leaving
         }
-        return m.LoadReport(
+        return messages.LoadReport(
             loads=tuple(
-                m.PeerLoad(team, service, *counts)
+                messages.PeerLoad(team, service, *counts)
                 for (team, service), counts in sorted(loads.items())
             ),
             in_flight_by_worker=self._workers.in_flight_by_worker(),
--- a/src/cranberrywheel/process/operator_api.py
+++ b/src/cranberrywheel/process/operator_api.py
@@ -16,7 +16,7 @@
     UnauthorizedError,
     UnknownQueueError,
 )
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.version.snapshot import ConfigurationSnapshot
 
 #: Longer than the store session needs to find out that the store is down.
@@ -121,7 +121,7 @@
                 "The text is not UTF-8.", "Save it as UTF-8."
             ) from None
         version: Future[int] = Future()
-        self._to_store(m.ApplyConfiguration(text, int(expected), version))
+        self._to_store(messages.ApplyConfiguration(text, int(expected), version))
         return _json({"text_version": _wait(version, STORE_WAIT_S)})
 
     def _grant(self, request: werkzeug.Request) -> werkzeug.Response:
@@ -130,7 +130,7 @@
         if not isinstance(team, str):
             raise MalformedRequestError("No team was named.", 'Send {"team": NAME}.')
         key: Future[str] = Future()
-        self._to_store(m.CreateKey(team, key))
+        self._to_store(messages.CreateKey(team, key))
         return _json({"key": _wait(key, STORE_WAIT_S)}, 201)
 
     def _withdraw(self, request: werkzeug.Request) -> werkzeug.Response:
@@ -139,19 +139,19 @@
             raise MalformedRequestError(
                 "This is no key id.", "Use the id that 'show' prints."
             )
-        self._to_dispatcher(m.KeyRevoked(key_id))
+        self._to_dispatcher(messages.KeyRevoked(key_id))
         result: Future[dict[str, t.Any]] = Future()
-        self._to_store(m.RevokeKey(key_id, result))
+        self._to_store(messages.RevokeKey(key_id, result))
         return _json(_wait(result, STORE_WAIT_S))
 
     def _fleet(self, request: werkzeug.Request) -> werkzeug.Response:
         fleet: Future[dict[str, t.Any]] = Future()
-        self._to_dispatcher(m.ReadFleet(fleet))
+        self._to_dispatcher(messages.ReadFleet(fleet))
         return self._dispatchers_answer(fleet)
 
     def _status(self, request: werkzeug.Request) -> werkzeug.Response:
         status: Future[dict[str, t.Any]] = Future()
-        self._to_dispatcher(m.ReadStatus(status))
+        self._to_dispatcher(messages.ReadStatus(status))
         return self._dispatchers_answer(status)
 
     @staticmethod
--- a/src/cranberrywheel/process/request_handler.py
+++ b/src/cranberrywheel/process/request_handler.py
@@ -15,7 +15,7 @@
     UnknownQueueError,
 )
 from cranberrywheel.logs import PartLogger
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.process.admission import (
     authorize_team,
     build_request,
@@ -44,7 +44,7 @@
         self._state = state
         self._stop_attempt = stop_attempt
 
-    def submit(self, message: m.SubmitRequest) -> None:
+    def submit(self, message: messages.SubmitRequest) -> None:
         """Admit a caller's request, or answer it at once."""
         incoming = message.incoming
         now_ms = self._state.clock.now_ms()
@@ -64,7 +64,9 @@
             self._state.metrics.count(f"refused.{error.kind}")
             message.answer.set_result(self._refusal(incoming, error))
 
-    def _refusal(self, incoming: m.IncomingRequest, error: RequestError) -> Answer:
+    def _refusal(
+        self, incoming: messages.IncomingRequest, error: RequestError
+    ) -> Answer:
         """Describe a refusal; a ticket's earlier call may have run all the same."""
         answer = problem_answer(incoming.request_id, error)
         now_ms = self._state.clock.now_ms()
@@ -75,7 +77,7 @@
             return answer
         return problem_answer(incoming.request_id, error, Outcome.UNKNOWN)
 
-    def _admit(self, incoming: m.IncomingRequest, now_ms: int) -> Request:
+    def _admit(self, incoming: messages.IncomingRequest, now_ms: int) -> Request:
         if self._state.drained:
             raise NotReadyError(
                 "This instance is shutting down.", "Retry at another instance."
@@ -315,10 +317,12 @@
         answer = self._state.links.forward(peer_address, incoming, timeout_ms)
         self._state.forwards_by_id[request_id] = Forward(waiter, answer)
         answer.add_done_callback(
-            lambda done: self._state.links.to_self(m.ForwardFinished(request_id, done))
+            lambda done: self._state.links.to_self(
+                messages.ForwardFinished(request_id, done)
+            )
         )
 
-    def forward_finished(self, message: m.ForwardFinished) -> None:
+    def forward_finished(self, message: messages.ForwardFinished) -> None:
         """Answer the caller of a forwarded request."""
         forward = self._state.forwards_by_id.pop(message.request_id, None)
         if forward is None:
--- a/src/cranberrywheel/process/ticket_calls.py
+++ b/src/cranberrywheel/process/ticket_calls.py
@@ -9,7 +9,7 @@
     TicketExpiredError,
     UnknownOutcomeError,
 )
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.process.admission import authorize_team, find_queue
 from cranberrywheel.process.entry_state import EntryState
 from cranberrywheel.request.model import Answer, Outcome
@@ -49,7 +49,7 @@
     def __init__(self, state: EntryState) -> None:
         self._state = state
 
-    def issue(self, message: m.IssueTickets) -> None:
+    def issue(self, message: messages.IssueTickets) -> None:
         """Issue tickets to the team of a key."""
         now_ms = self._state.clock.now_ms()
         try:
@@ -73,8 +73,8 @@
         except RequestError as error:
             message.tickets.set_exception(error)
 
-    def _ask_owner(self, peer_address: str, message: m.QueryTicket) -> None:
-        incoming = m.IncomingRequest(
+    def _ask_owner(self, peer_address: str, message: messages.QueryTicket) -> None:
+        incoming = messages.IncomingRequest(
             request_id=uuid.uuid4().hex,
             queue="",
             authorization="",
@@ -96,7 +96,7 @@
             peer_address, incoming, QUERY_TIMEOUT_MS
         ).add_done_callback(copy)
 
-    def query(self, message: m.QueryTicket) -> None:
+    def query(self, message: messages.QueryTicket) -> None:
         """Tell what is known about a ticket."""
         now_ms = self._state.clock.now_ms()
         try:
--- a/tests/dispatcher_fakes.py
+++ b/tests/dispatcher_fakes.py
@@ -12,7 +12,7 @@
     StartAttempt,
     TokenFetched,
 )
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.process.dispatcher import Dispatcher
 from cranberrywheel.process.entry_state import Links, create_state
 from cranberrywheel.settings import EntrySettings, PlatformSettings
@@ -109,11 +109,11 @@
             for w in WORKERS
         )
         self.post(
-            m.ConfigurationAdopted(snapshot),
-            m.InstancesListed(InstanceList(1, 0, rows)),
-            m.FreshnessProven(self.clock.now_ms()),
-            m.QuotaLeaseRenewed(self.clock.now_ms()),
-            m.QuotaUnitsHeld("red", long_units, short_units),
+            messages.ConfigurationAdopted(snapshot),
+            messages.InstancesListed(InstanceList(1, 0, rows)),
+            messages.FreshnessProven(self.clock.now_ms()),
+            messages.QuotaLeaseRenewed(self.clock.now_ms()),
+            messages.QuotaUnitsHeld("red", long_units, short_units),
         )
 
     def _forward(self, address, incoming, timeout_ms):
@@ -121,8 +121,8 @@
         self.forwarded.append((address, incoming, future))
         return future
 
-    def post(self, *messages):
-        for message in messages:
+    def post(self, *batch):
+        for message in batch:
             self.dispatcher.post(message)
         self.dispatcher.run_once()
 
@@ -131,13 +131,15 @@
         for _ in range(0, duration_ms, 100):
             self.clock.advance(100)
             now_ms = self.clock.now_ms()
-            self.post(m.FreshnessProven(now_ms), m.QuotaLeaseRenewed(now_ms))
+            self.post(
+                messages.FreshnessProven(now_ms), messages.QuotaLeaseRenewed(now_ms)
+            )
             self.give_tokens()
 
     def submit(self, request_id, queue="lookups", ticket="", key=None, **changes):
         future = Future()
         authorization = "" if key == "" else f"Bearer {key or self.key}"
-        incoming = m.IncomingRequest(
+        incoming = messages.IncomingRequest(
             request_id=request_id,
             queue=queue,
             authorization=authorization,
@@ -147,13 +149,13 @@
             timeout_ms=0,
             **changes,
         )
-        self.post(m.SubmitRequest(incoming, future))
+        self.post(messages.SubmitRequest(incoming, future))
         self.give_tokens()
         return future
 
     def ticket(self, queue="payments"):
         tickets = Future()
-        self.post(m.IssueTickets(f"Bearer {self.key}", queue, 1, tickets))
+        self.post(messages.IssueTickets(f"Bearer {self.key}", queue, 1, tickets))
         return tickets.result(0)[0]
 
     def take(self, kind):
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -14,7 +14,7 @@
     UsageFetched,
 )
 from cranberrywheel.errors import NotReadyError
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.request.model import Answer, Outcome
 from cranberrywheel.request.problem import problem_answer
 from cranberrywheel.request.ticket import TicketExport
@@ -62,7 +62,7 @@
         self.bench.submit("b")
         waiting = self.bench.submit("c")
         start, _ = self.bench.starts()
-        self.bench.post(m.CancelRequest("a"))
+        self.bench.post(messages.CancelRequest("a"))
         (stop,) = self.bench.take(ControlTask)
         self.assertEqual([], self.bench.starts())
         self.bench.post(
@@ -85,7 +85,7 @@
         self.bench.submit("b")
         self.bench.submit("c")
         self.bench.starts()
-        self.bench.post(m.CancelRequest("a"))
+        self.bench.post(messages.CancelRequest("a"))
         limits = self.bench.settings.limits
         self.bench.advance(limits.task_lease_ms + limits.start_token_ms)
         self.bench.give_tokens()
@@ -99,7 +99,7 @@
         self.bench.submit("b")
         queued = self.bench.submit("c")
         starts = self.bench.starts()
-        self.bench.post(m.CancelRequest("c"))
+        self.bench.post(messages.CancelRequest("c"))
         self.assert_refused(queued, "cancelled")
         for start in starts:
             self.bench.end(start)
@@ -149,7 +149,7 @@
         ticket = self.bench.ticket()
         self.bench.submit("a", "payments", ticket)
         (start,) = self.bench.starts()
-        self.bench.post(m.CancelRequest("a"))
+        self.bench.post(messages.CancelRequest("a"))
         self.assertEqual([], self.bench.take(ControlTask))
         self.bench.end(start, body=b"paid")
         later = self.bench.submit("b", "payments", ticket)
@@ -173,7 +173,7 @@
         self.assert_refused(future, "unknown-outcome", Outcome.UNKNOWN)
 
     def test_ticket_of_a_peer_is_forwarded_and_a_lost_forward_is_unknown(self):
-        report = m.PeerReport("z1.e1.y", "z1", "h:1", "h:2", False, (), {}, ())
+        report = messages.PeerReport("z1.e1.y", "z1", "h:1", "h:2", False, (), {}, ())
         self.bench.post(report)
         ticket = self.bench.ticket().replace("z1.e1.x", "z1.e1.y")
         future = self.bench.submit("a", "payments", ticket)
@@ -190,7 +190,7 @@
         self.assertEqual([], self.bench.starts())
 
     def test_withdrawn_key_stops_at_once(self):
-        self.bench.post(m.KeyRevoked(self.bench.key_id))
+        self.bench.post(messages.KeyRevoked(self.bench.key_id))
         self.assert_refused(self.bench.submit("a"), "unauthorized")
 
     def test_keys_that_are_not_fresh_pause_keyed_queues_but_not_open_ones(self):
@@ -221,7 +221,7 @@
         self.assertEqual(b"first", future.result(0).body)
 
     def test_bad_message_does_not_end_the_task(self):
-        self.bench.post(object(), m.SubmitRequest(None, None))
+        self.bench.post(object(), messages.SubmitRequest(None, None))
         self.assertFalse(self.bench.submit("a").done())
         self.assertEqual(1, len(self.bench.starts()))
 
@@ -233,7 +233,7 @@
         future = self.bench.submit("a")
         (start,) = self.bench.starts()
         self.bench.end(start, AttemptEnd.BROKEN)
-        self.bench.post(m.InstancesListed(InstanceList(2, 0, ())))
+        self.bench.post(messages.InstancesListed(InstanceList(2, 0, ())))
         self.bench.advance(10_100)
         self.assert_refused(future, "unknown-outcome", Outcome.UNKNOWN)
 
@@ -258,9 +258,9 @@
         self.assertEqual("checkpoint", checkpoint.action)
 
     def test_request_without_a_unit_goes_to_a_peer_that_has_one(self):
-        load = m.PeerLoad("red", "", 0, 0, 1)
+        load = messages.PeerLoad("red", "", 0, 0, 1)
         self.bench.post(
-            m.PeerReport("z1.e1.y", "z1", "h:1", "h:2", False, (load,), {}, ())
+            messages.PeerReport("z1.e1.y", "z1", "h:1", "h:2", False, (load,), {}, ())
         )
         futures = [self.bench.submit(f"r{i}") for i in range(4)]
         self.bench.advance(400)
@@ -276,7 +276,7 @@
         future = self.bench.submit("a", "payments", ticket)
         (start,) = self.bench.starts()
         self.bench.end(start, AttemptEnd.REFUSED, "busy")
-        self.bench.post(m.CancelRequest("a"))
+        self.bench.post(messages.CancelRequest("a"))
         self.assert_refused(future, "cancelled")
         self.assertEqual(0, len(self.bench.state.pending))
 
@@ -285,7 +285,7 @@
         self.bench.submit("a", "payments", ticket)
         (start,) = self.bench.starts()
         self.bench.end(start)
-        self.bench.post(m.KeyRevoked(self.bench.key_id))
+        self.bench.post(messages.KeyRevoked(self.bench.key_id))
         future = self.bench.submit("b", "payments", ticket)
         self.assert_refused(future, "unauthorized", Outcome.UNKNOWN)
 
@@ -304,24 +304,26 @@
     def test_handed_over_ticket_is_answered_here_and_passed_on(self):
         # Guards against forwards to a stopped owner and against results that are
         # lost when their receiver is replaced too.
-        report = m.PeerReport("z1.e1.y", "z1", "h:1", "h:2", False, (), {}, ())
+        report = messages.PeerReport("z1.e1.y", "z1", "h:1", "h:2", False, (), {}, ())
         ticket = self.bench.ticket().replace("z1.e1.x", "z1.e1.y")
         paid = Answer(request_id="", outcome=Outcome.OK, status=200, body=b"paid")
         export = TicketExport(forgotten_ms=0, results=((ticket, paid),))
-        self.bench.post(report, m.ResultsHandedOver("z1.e1.y", export))
+        self.bench.post(report, messages.ResultsHandedOver("z1.e1.y", export))
         answer = self.bench.submit("a", "payments", ticket).result(0)
         self.assertEqual(b"paid", answer.body)
         self.assertEqual([], self.bench.forwarded)
         exports = Future()
-        self.bench.post(m.ExportResults(exports))
+        self.bench.post(messages.ExportResults(exports))
         self.assertEqual(export, dict(exports.result(0))["z1.e1.y"])
 
     def test_query_of_a_peers_ticket_asks_its_owner(self):
-        report = m.PeerReport("z1.e1.y", "z1", "h:1", "h:2", False, (), {}, ())
+        report = messages.PeerReport("z1.e1.y", "z1", "h:1", "h:2", False, (), {}, ())
         self.bench.post(report)
         ticket = self.bench.ticket().replace("z1.e1.x", "z1.e1.y")
         known, lost, passed_on = Future(), Future(), Future()
-        self.bench.post(m.QueryTicket(ticket, known), m.QueryTicket(ticket, lost))
+        self.bench.post(
+            messages.QueryTicket(ticket, known), messages.QueryTicket(ticket, lost)
+        )
         (_, incoming, first), (_, _, second) = self.bench.forwarded
         self.assertTrue(incoming.query)
         paid = Answer(request_id="", outcome=Outcome.OK, status=200, body=b"paid")
@@ -329,7 +331,7 @@
         second.set_exception(ConnectionError())
         self.assertEqual(paid, known.result(0))
         self.assert_refused(lost, "unknown-outcome", Outcome.UNKNOWN)
-        self.bench.post(m.QueryTicket(ticket, passed_on, forwarded=True))
+        self.bench.post(messages.QueryTicket(ticket, passed_on, forwarded=True))
         self.assert_refused(passed_on, "unknown-outcome", Outcome.UNKNOWN)
 
     def test_request_cancelled_before_its_start_token_leaves_the_use_counts(self):
@@ -337,7 +339,7 @@
         self.bench.give_tokens = lambda: None
         self.bench.submit("a")
         self.assertEqual(1, self.bench.state.fleet.use_by_team["red"])
-        self.bench.post(m.CancelRequest("a"))
+        self.bench.post(messages.CancelRequest("a"))
         self.assertEqual(0, self.bench.state.fleet.use_by_team["red"])
 
     def test_services_of_one_pool_are_ejected_within_the_larger_budget(self):
