--- a/src/cranberrywheel/process/admission.py
+++ b/src/cranberrywheel/process/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may enter its queue: rights, freshness, size, deadline."""
+"""Checks whether a request may enter its queue: API key, headers, size, timeout."""
 
 import typing as t
 
@@ -23,22 +23,22 @@
 
 
 def find_queue(snapshot: ConfigurationSnapshot | None, name: str) -> Queue:
-    """Look up a queue in the version in force.
+    """Return the configuration of a queue.
 
-    :param snapshot: the version in force, or ``None`` before the first.
-    :param name: queue name.
-    :raises NotReadyError: without a configuration.
-    :raises UnknownQueueError: if the version has no such queue.
+    :param snapshot: configuration in force, or ``None`` before the first one.
+    :param name: queue name from the request.
+    :raises NotReadyError: if there is no configuration yet.
+    :raises UnknownQueueError: if the configuration has no such queue.
     """
     if snapshot is None:
         raise NotReadyError(
-            "This instance has no configuration yet.", "Retry at another instance."
+            "This instance has no configuration yet.", "Retry on another instance."
         )
     queue = snapshot.configuration.queues_by_name.get(name)
     if queue is None:
         raise UnknownQueueError(
             f"There is no queue {name[:64]!r}.",
-            "Use a queue name from the operators' text.",
+            "Use the name of a queue in the configuration.",
         )
     return queue
 
@@ -48,37 +48,40 @@
     queue: Queue,
     authorization: str,
     freshness: FreshnessTracker,
-    marked_ids: t.Collection[str],
+    revoked_key_ids: t.Collection[str],
     settings: EntrySettings,
     now_ms: int,
 ) -> str:
-    """Find the team whose key came with a request.
+    """Return the team whose API key came with a request.
 
     :param authorization: the ``Authorization`` header.
-    :param freshness: shows how current the keys are.
-    :param marked_ids: ids of keys withdrawn since the version was written.
-    :returns: the team, or ``""`` on an open queue.
-    :raises UnauthorizedError: for a missing, wrong or withdrawn key.
-    :raises ForbiddenError: if the team has no right to the queue.
+    :param freshness: when the keys were last proven to be up to date.
+    :param revoked_key_ids: ids of keys revoked since the snapshot was written.
+    :param now_ms: reading of the local clock in milliseconds.
+    :returns: name of the team, or ``""`` for a queue that needs no key.
+    :raises UnauthorizedError: for a missing, wrong or revoked key.
+    :raises ForbiddenError: if the team may not use the queue.
     :raises StaleKeysError: if the keys may be out of date.
     """
     if queue.open_to_all:
         return ""
     key = authorize(authorization, snapshot.keys_by_id, snapshot.withdrawn_ids)
-    if key.key_id in marked_ids:
-        raise UnauthorizedError("The key was withdrawn.", "Ask an operator for a key.")
-    bound_ms = settings.key_freshness_ms
+    if key.key_id in revoked_key_ids:
+        raise UnauthorizedError(
+            "The key was revoked.", "Ask an operator for a new key."
+        )
+    max_age_ms = settings.key_freshness_ms
     if queue.serve_stale_keys:
-        bound_ms = max(bound_ms, queue.stale_serve_ms)
-    if not freshness.is_fresh(now_ms, bound_ms):
+        max_age_ms = max(max_age_ms, queue.stale_serve_ms)
+    if not freshness.is_fresh(now_ms, max_age_ms):
         raise StaleKeysError(
-            "This instance cannot show that the key is still granted.",
-            "Retry; the balancer may choose an instance that can.",
+            "This instance cannot prove that the key is still valid.",
+            "Retry; the load balancer may choose an instance that can.",
         )
     team = snapshot.configuration.teams_by_name.get(key.team)
     if team is None or not team.may_use(queue.name):
         raise ForbiddenError(
-            f"Team {key.team!r} has no right to queue {queue.name!r}.",
+            f"Team {key.team!r} may not use queue {queue.name!r}.",
             "Ask an operator to list the queue under the team.",
         )
     return team.name
@@ -91,23 +94,28 @@
     settings: EntrySettings,
     now_ms: int,
 ) -> Request:
-    """Check an authorized request and give it a deadline.
+    """Check an authorized request and compute its deadline.
 
-    :raises MalformedRequestError: for a bad timeout or an overlong header.
-    :raises RequestTooLargeError: if the body is over the limit.
+    :param team: name of the team, or ``""`` for a queue that needs no key.
+    :param now_ms: reading of the local clock in milliseconds.
+    :raises MalformedRequestError: for a negative timeout or an overlong header.
+    :raises RequestTooLargeError: if the body is over ``max_body_bytes``.
     """
     if incoming.timeout_ms < 0:
         raise MalformedRequestError(
-            "Request-Timeout-Ms is below zero.", "Send a positive number."
+            "Request-Timeout-Ms is negative.", "Send a number of milliseconds, or 0."
         )
     if len(incoming.idempotency_key) > MAX_HEADER_CHARS:
         raise MalformedRequestError(
-            f"Idempotency-Key is over {MAX_HEADER_CHARS} characters.",
+            f"Idempotency-Key has {len(incoming.idempotency_key)} characters, more "
+            f"than {MAX_HEADER_CHARS}.",
             "Use a ticket from POST /v1/tickets.",
         )
     if len(incoming.body) > settings.max_body_bytes:
         raise RequestTooLargeError(
-            f"The body is over {settings.max_body_bytes} bytes.", "Send less."
+            f"The body has {len(incoming.body)} bytes, more than the limit of "
+            f"{settings.max_body_bytes}.",
+            "Send a smaller body.",
         )
     timeout_ms = min(incoming.timeout_ms or queue.timeout_ms, queue.timeout_ms)
     return Request(
--- a/src/cranberrywheel/process/attempt.py
+++ b/src/cranberrywheel/process/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one worker, and what its end means."""
+"""One attempt to run a request on a worker, and its result."""
 
 import dataclasses
 import enum
@@ -10,27 +10,28 @@
 
 
 class AttemptState(enum.Enum):
-    """Where an attempt stands."""
+    """State of an attempt that has not ended."""
 
     NEEDS_TOKEN = "needs-token"
     RUNNING = "running"
-    #: Nobody waits for it; the worker is asked to stop it.
+    #: No caller waits for it, and the worker is asked to stop it.
     STOPPING = "stopping"
-    #: Its connection broke; the worker is asked what became of it.
+    #: Its connection broke, and the worker is asked for its state.
     QUERYING = "querying"
 
 
 @dataclasses.dataclass(kw_only=True)
 class Attempt:
-    """One task at one worker.
+    """One task on one worker. All times are readings of the local clock.
 
-    :param task_id: id at the worker; also names the unit it uses.
-    :param lease_sent_ms: clock reading before the last lease was sent.
-    :param checkpoint: id of the checkpointed task that it continues, or ``""``.
-    :param displaced: whether it was asked to make room for urgent work.
-    :param used_cores: most cores in usage reports, or ``None`` before the first.
-    :param used_memory_mb: most memory in usage reports, or ``None``.
-    :param seen_running_ms: when the worker last confirmed that the task runs.
+    :param task_id: id on the worker; also identifies the quota unit in use.
+    :param sent_ms: when the start was sent, or 0.
+    :param lease_sent_ms: when the latest task lease was sent.
+    :param checkpoint: id of the checkpointed task to continue, or ``""``.
+    :param preempted: whether it was asked to checkpoint in favour of urgent work.
+    :param used_cores: highest usage reported, or ``None`` before the first report.
+    :param used_memory_mb: highest usage reported, or ``None``.
+    :param confirmed_running_ms: when the worker last reported the task as running.
     """
 
     task_id: str
@@ -42,19 +43,20 @@
     expected_ms: float
     sent_ms: int = 0
     lease_sent_ms: int = 0
-    seen_running_ms: int = 0
+    confirmed_running_ms: int = 0
     checkpoint: str = ""
-    displaced: bool = False
+    preempted: bool = False
     used_cores: float | None = None
     used_memory_mb: int | None = None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AttemptResult:
-    """What an attempt means for its request.
+    """Result of an attempt, for its request.
 
-    :param started: false only if the task certainly was not started.
-    :param last: whether the attempt is over at the worker.
+    :param kind: problem type that the worker named, or ``""``.
+    :param detail: cause in words, or ``""``.
+    :param last: whether the attempt has ended on the worker.
     """
 
     attempt: Attempt
@@ -67,4 +69,5 @@
 
     @property
     def started(self) -> bool:
+        """Whether the task may have been started; false if it certainly was not."""
         return self.end not in (AttemptEnd.REFUSED, AttemptEnd.NOT_SENT)
--- a/src/cranberrywheel/process/attempt_manager.py
+++ b/src/cranberrywheel/process/attempt_manager.py
@@ -1,4 +1,4 @@
-"""Attempts of requests at workers, from start token to confirmed end."""
+"""Manages attempts at workers, from the start token to the confirmed end."""
 
 import itertools
 import typing as t
@@ -26,22 +26,22 @@
 from cranberrywheel.settings import LimitSettings
 from cranberrywheel.version.configuration import Queue
 
-#: Pause between two tries to stop or query a task.
+#: Delay before the stop or the query of a task is sent again.
 CONTROL_RETRY_MS = 500
-#: Younger tasks are seldom in a usage report, which lags.
-USAGE_AGE_MS = 1_000
-#: Renewals are sent this often per task lease.
+#: Usage reports lag, so younger tasks are seldom in them.
+MIN_USAGE_AGE_MS = 1_000
+#: Renewals sent within the duration of one task lease.
 RENEWALS_PER_LEASE = 3
 
 _log = PartLogger("attempts")
 
 
 class AttemptManager:
-    """State of all attempts of one entry process; owned by the dispatcher.
+    """Manages all attempts of one entry process; owned by the dispatcher.
 
     :param post: sends a message to the target client.
-    :param on_result: gets an :class:`AttemptResult` when an attempt ends, and one
-        with ``last`` false when its connection broke while it may run on.
+    :param on_result: called with an :class:`AttemptResult` when an attempt ends, and
+        also, with ``last`` false, when its connection broke but it may still run.
     """
 
     def __init__(
@@ -61,21 +61,21 @@
         self._timers = timers
         self._post = post
         self._on_result = on_result
-        self._by_task: dict[str, Attempt] = {}
-        self._waiting_by_worker: dict[str, list[str]] = {}
-        self._numbers = itertools.count(1)
+        self._attempts_by_task: dict[str, Attempt] = {}
+        self._awaiting_token_by_worker: dict[str, list[str]] = {}
+        self._attempt_numbers = itertools.count(1)
         self.late_answers = 0
 
     def __len__(self) -> int:
-        return len(self._by_task)
+        return len(self._attempts_by_task)
 
     def find(self, task_id: str) -> Attempt | None:
-        """Return a live attempt."""
-        return self._by_task.get(task_id)
+        """Return an attempt that has not ended, or ``None``."""
+        return self._attempts_by_task.get(task_id)
 
     def running(self) -> list[Attempt]:
-        """Return all live attempts."""
-        return list(self._by_task.values())
+        """Return all attempts that have not ended."""
+        return list(self._attempts_by_task.values())
 
     def start(
         self,
@@ -85,15 +85,15 @@
         expected_ms: float,
         checkpoint: str = "",
     ) -> str | None:
-        """Start a request at a worker.
+        """Start a request on a worker.
 
-        :param expected_ms: run time that its queue's requests usually take.
-        :param checkpoint: id of the checkpointed task that it continues, or ``""``.
+        :param expected_ms: usual run time of the queue's requests in milliseconds.
+        :param checkpoint: id of the checkpointed task to continue, or ``""``.
 
-        :returns: the task id, or ``None`` if the team has no unit left.
+        :returns: the task id, or ``None`` if the team has no free quota unit.
         """
         now_ms = self._clock.now_ms()
-        task_id = f"{request.request_id}.{next(self._numbers)}"
+        task_id = f"{request.request_id}.{next(self._attempt_numbers)}"
         if request.team and not self._ledger.acquire_unit(
             request.team, task_id, now_ms
         ):
@@ -108,14 +108,14 @@
             expected_ms=expected_ms,
             checkpoint=checkpoint,
         )
-        self._by_task[task_id] = attempt
+        self._attempts_by_task[task_id] = attempt
         self._workers.started(worker.name, now_ms)
         if not self._send(attempt):
             self._fetch_token(attempt)
         return task_id
 
     def _fetch_token(self, attempt: Attempt) -> None:
-        waiting = self._waiting_by_worker.setdefault(attempt.worker.name, [])
+        waiting = self._awaiting_token_by_worker.setdefault(attempt.worker.name, [])
         waiting.append(attempt.task_id)
         if len(waiting) == 1:
             self._post(
@@ -123,7 +123,10 @@
             )
 
     def _send(self, attempt: Attempt) -> bool:
-        """Send the start if there is a usable token; check the unit after it."""
+        """Send the start request if there is a usable start token.
+
+        :returns: false if a token must be fetched first.
+        """
         now_ms = self._clock.now_ms()
         token = self._workers.token(attempt.worker.name, now_ms)
         if token is None:
@@ -131,7 +134,7 @@
         request = attempt.request
         if request.team and not self._ledger.has_valid_unit(attempt.task_id, now_ms):
             self._end(attempt, AttemptVerdict.REFUSED)
-            self._report(attempt, AttemptEnd.NOT_SENT, detail="the unit has expired")
+            self._report(attempt, AttemptEnd.NOT_SENT, detail="the quota unit expired")
             return True
         attempt.state = AttemptState.RUNNING
         attempt.sent_ms = attempt.lease_sent_ms = now_ms
@@ -157,32 +160,32 @@
         )
         return True
 
-    def token_fetched(self, message: TokenFetched) -> None:
-        """Send the attempts that waited for a start token."""
+    def handle_token_fetched(self, message: TokenFetched) -> None:
+        """Start the attempts that waited for this start token."""
         if message.token:
             self._workers.set_token(message.worker, message.token, message.asked_ms)
-        for task_id in self._waiting_by_worker.pop(message.worker, []):
-            attempt = self._by_task.get(task_id)
+        for task_id in self._awaiting_token_by_worker.pop(message.worker, []):
+            attempt = self._attempts_by_task.get(task_id)
             if attempt is None or self._send(attempt):
                 continue
             self._end(attempt, AttemptVerdict.UNREACHABLE)
             self._report(attempt, AttemptEnd.NOT_SENT, detail="no start token")
 
-    def finished(self, message: AttemptFinished) -> None:
-        """Handle the end of an attempt's connection."""
-        attempt = self._by_task.get(message.task_id)
+    def handle_attempt_finished(self, message: AttemptFinished) -> None:
+        """Handle the answer to an attempt, or the loss of its connection."""
+        attempt = self._attempts_by_task.get(message.task_id)
         if attempt is None:
             self.late_answers += 1
-            _log.event("dropped a late answer", request_id=message.task_id)
+            _log.event("dropped answer to an ended attempt", request_id=message.task_id)
             return
         if message.next_token:
             self._workers.set_token(
                 message.worker, message.next_token, self._clock.now_ms()
             )
         if message.end is AttemptEnd.BROKEN:
-            self._connection_broke(attempt, message)
+            self._handle_broken_connection(attempt, message)
             return
-        self._end(attempt, _verdict_of(message))
+        self._end(attempt, _to_verdict(message))
         self._report(
             attempt,
             message.end,
@@ -192,14 +195,16 @@
             content_type=message.content_type,
         )
 
-    def _connection_broke(self, attempt: Attempt, message: AttemptFinished) -> None:
+    def _handle_broken_connection(
+        self, attempt: Attempt, message: AttemptFinished
+    ) -> None:
         if attempt.state is AttemptState.STOPPING:
             return
         if attempt.request.idempotent:
             self.stop(attempt.task_id)
         else:
             attempt.state = AttemptState.QUERYING
-            self._query(attempt)
+            self._send_query(attempt)
         self._report(
             attempt,
             AttemptEnd.BROKEN,
@@ -209,8 +214,8 @@
         )
 
     def stop(self, task_id: str) -> None:
-        """Ask the worker to stop a task; its unit stays taken until it has."""
-        attempt = self._by_task.get(task_id)
+        """Ask the worker to stop a task; its quota unit stays in use until then."""
+        attempt = self._attempts_by_task.get(task_id)
         if attempt is None or attempt.state is AttemptState.STOPPING:
             return
         if attempt.state is AttemptState.NEEDS_TOKEN:
@@ -218,14 +223,14 @@
             self._report(attempt, AttemptEnd.NOT_SENT, detail="cancelled")
             return
         attempt.state = AttemptState.STOPPING
-        self._control(attempt, "stop")
+        self._send_control(attempt, "stop")
 
     def control(self, task_id: str, action: str) -> None:
-        """Ask the worker to checkpoint or throttle a task."""
-        if attempt := self._by_task.get(task_id):
-            self._control(attempt, action)
+        """Send a control action, such as ``checkpoint``, for a task to its worker."""
+        if attempt := self._attempts_by_task.get(task_id):
+            self._send_control(attempt, action)
 
-    def _control(self, attempt: Attempt, action: str) -> None:
+    def _send_control(self, attempt: Attempt, action: str) -> None:
         self._post(
             ControlTask(
                 task_id=attempt.task_id,
@@ -235,7 +240,7 @@
             )
         )
 
-    def _query(self, attempt: Attempt) -> None:
+    def _send_query(self, attempt: Attempt) -> None:
         self._post(
             QueryTask(
                 task_id=attempt.task_id,
@@ -244,102 +249,115 @@
             )
         )
 
-    def control_finished(self, message: ControlFinished) -> None:
-        """Handle the worker's answer to a control call."""
-        attempt = self._by_task.get(message.task_id)
+    def handle_control_finished(self, message: ControlFinished) -> None:
+        """Handle the worker's answer to a control action."""
+        attempt = self._attempts_by_task.get(message.task_id)
         if attempt is None or message.action != "stop":
             return
-        # A start may still be on its way until its token is too old.
-        settled = self._clock.now_ms() - attempt.sent_ms > self._token_bound_ms()
-        if message.confirmed or (message.gone and settled):
+        # While its token is valid, a start that the worker does not know yet may
+        # still arrive.
+        token_expired = (
+            self._clock.now_ms() - attempt.sent_ms > self._max_token_age_ms()
+        )
+        if message.confirmed or (message.gone and token_expired):
             self._end(attempt, AttemptVerdict.CANCELLED)
             _log.event(
-                "task stopped", request_id=attempt.task_id, worker=attempt.worker.name
+                "worker stopped task",
+                request_id=attempt.task_id,
+                worker=attempt.worker.name,
             )
             self._report(attempt, AttemptEnd.BROKEN, detail="stopped")
             return
-        self._retry_control(attempt, lambda: self._control(attempt, "stop"))
+        self._schedule_retry(attempt, lambda: self._send_control(attempt, "stop"))
 
-    def task_queried(self, message: TaskQueried) -> None:
-        """Handle what a worker knows about a task whose connection broke."""
-        attempt = self._by_task.get(message.task_id)
+    def handle_task_queried(self, message: TaskQueried) -> None:
+        """Handle the state of a task whose connection broke, as its worker reports."""
+        attempt = self._attempts_by_task.get(message.task_id)
         if attempt is None:
             return
         if message.state in ("finished", "failed"):
-            ran = message.state == "finished"
-            self._end(attempt, AttemptVerdict.OK if ran else AttemptVerdict.FAILED)
+            succeeded = message.state == "finished"
+            self._end(
+                attempt, AttemptVerdict.OK if succeeded else AttemptVerdict.FAILED
+            )
             self._report(
                 attempt,
-                AttemptEnd.RAN if ran else AttemptEnd.FAILED,
-                detail="the worker was asked for the result",
+                AttemptEnd.RAN if succeeded else AttemptEnd.FAILED,
+                detail="the result was queried after the connection broke",
                 body=message.body,
                 content_type=message.content_type,
             )
         elif message.state == "stopped":
             self._end(attempt, AttemptVerdict.UNREACHABLE)
-            self._report(attempt, AttemptEnd.BROKEN, detail="stopped at the worker")
+            self._report(
+                attempt, AttemptEnd.BROKEN, detail="the worker stopped the task"
+            )
         else:
             if message.state == "running":
-                attempt.seen_running_ms = self._clock.now_ms()
-            self._retry_control(attempt, lambda: self._query(attempt))
+                attempt.confirmed_running_ms = self._clock.now_ms()
+            self._schedule_retry(attempt, lambda: self._send_query(attempt))
 
-    def _retry_control(self, attempt: Attempt, again: t.Callable[[], None]) -> None:
+    def _schedule_retry(self, attempt: Attempt, send: t.Callable[[], None]) -> None:
         def retry() -> None:
-            if self._by_task.get(attempt.task_id) is attempt:
-                again()
+            if self._attempts_by_task.get(attempt.task_id) is attempt:
+                send()
 
         self._timers.add(self._clock.now_ms() + CONTROL_RETRY_MS, retry)
 
-    def _token_bound_ms(self) -> int:
+    def _max_token_age_ms(self) -> int:
         return self._settings.start_token_ms + self._settings.start_token_ms // 100 + 1
 
     def fetch_usage(self) -> None:
-        """Ask for usage where tasks run long enough to be in a lagging report."""
+        """Fetch usage from the workers whose tasks are old enough to be reported."""
         now_ms = self._clock.now_ms()
         workers = {
             attempt.worker.name: attempt.worker.address
-            for attempt in self._by_task.values()
-            if attempt.sent_ms and now_ms - attempt.sent_ms >= USAGE_AGE_MS
+            for attempt in self._attempts_by_task.values()
+            if attempt.sent_ms and now_ms - attempt.sent_ms >= MIN_USAGE_AGE_MS
         }
         for worker, address in workers.items():
             self._post(FetchUsage(worker=worker, address=address))
 
-    def usage_fetched(self, message: UsageFetched) -> None:
-        """Note what a worker reported of this process's tasks."""
+    def handle_usage_fetched(self, message: UsageFetched) -> None:
+        """Record the highest usage that a worker reported for each task."""
         for task_id, (cores, memory_mb) in message.usage_by_task.items():
-            if attempt := self._by_task.get(task_id):
+            if attempt := self._attempts_by_task.get(task_id):
                 attempt.used_cores = max(attempt.used_cores or 0.0, cores)
                 attempt.used_memory_mb = max(attempt.used_memory_mb or 0, memory_mb)
 
     def renew_leases(self) -> None:
-        """Renew the leases that are due and end attempts whose lease is over."""
+        """Renew the task leases that are due and end attempts with an expired one."""
         now_ms = self._clock.now_ms()
         lease_ms = self._settings.task_lease_ms
-        for attempt in list(self._by_task.values()):
+        for attempt in list(self._attempts_by_task.values()):
             if attempt.state is AttemptState.NEEDS_TOKEN:
                 continue
-            since_ms = now_ms - attempt.lease_sent_ms
-            if since_ms >= lease_ms // RENEWALS_PER_LEASE and (
+            lease_age_ms = now_ms - attempt.lease_sent_ms
+            if lease_age_ms >= lease_ms // RENEWALS_PER_LEASE and (
                 attempt.state is AttemptState.RUNNING
                 or (
                     attempt.state is AttemptState.QUERYING
-                    and now_ms - attempt.seen_running_ms < lease_ms
+                    and now_ms - attempt.confirmed_running_ms < lease_ms
                 )
             ):
-                self._renew(attempt, now_ms)
-            # The worker counts the lease from when it got it, up to a token
-            # lifetime later; 1% covers the difference in clock rate.
-            bound_ms = (lease_ms + self._settings.start_token_ms) * 101 // 100
-            if since_ms > bound_ms:
+                self._renew_lease(attempt, now_ms)
+            # The worker counts the lease from its arrival, up to a token lifetime
+            # after it was sent; 1% covers the difference in clock rate.
+            expiry_ms = (lease_ms + self._settings.start_token_ms) * 101 // 100
+            if lease_age_ms > expiry_ms:
                 self._end(attempt, AttemptVerdict.UNREACHABLE)
-                self._report(attempt, AttemptEnd.BROKEN, detail="the lease has expired")
+                self._report(
+                    attempt, AttemptEnd.BROKEN, detail="the task lease expired"
+                )
 
-    def _renew(self, attempt: Attempt, now_ms: int) -> None:
+    def _renew_lease(self, attempt: Attempt, now_ms: int) -> None:
         team = attempt.request.team
         if team and not self._ledger.has_valid_unit(attempt.task_id, now_ms):
-            _log.event("unit expired while running", request_id=attempt.task_id)
+            _log.event(
+                "quota unit expired; stopping its task", request_id=attempt.task_id
+            )
             if attempt.queue.can_checkpoint:
-                self._control(attempt, "checkpoint")
+                self._send_control(attempt, "checkpoint")
             self.stop(attempt.task_id)
             return
         token = self._workers.token(attempt.worker.name, now_ms)
@@ -362,7 +380,7 @@
 
     def _end(self, attempt: Attempt, verdict: AttemptVerdict) -> None:
         now_ms = self._clock.now_ms()
-        self._by_task.pop(attempt.task_id, None)
+        self._attempts_by_task.pop(attempt.task_id, None)
         duration_ms = now_ms - (attempt.sent_ms or now_ms)
         self._workers.finished(
             attempt.worker.name, verdict, duration_ms, now_ms, attempt.expected_ms
@@ -374,7 +392,7 @@
         self._on_result(AttemptResult(attempt=attempt, end=end, **fields))
 
 
-def _verdict_of(message: AttemptFinished) -> AttemptVerdict:
+def _to_verdict(message: AttemptFinished) -> AttemptVerdict:
     if message.end is AttemptEnd.RAN:
         return AttemptVerdict.OK
     if message.end is AttemptEnd.FAILED:
--- a/src/cranberrywheel/process/caller_api.py
+++ b/src/cranberrywheel/process/caller_api.py
@@ -1,4 +1,4 @@
-"""HTTP for callers: requests, tickets, health."""
+"""HTTP API for callers: requests, tickets and health checks."""
 
 import json
 import re
@@ -23,17 +23,18 @@
 from cranberrywheel.request.problem import problem_answer
 from cranberrywheel.settings import EntrySettings
 
-#: The dispatcher answers at the deadline; this is the margin for its thread.
-ANSWER_MARGIN_S = 5
-LONGEST_WAIT_S = 3_700
+#: Longest wait for an answer that the dispatcher gives without running a request.
+DISPATCHER_TIMEOUT_S = 5
+#: Safety net: the dispatcher answers at the deadline of the request.
+MAX_REQUEST_WAIT_S = 3_700
 MAX_TICKETS_PER_CALL = 100
 _TRACEPARENT = re.compile(r"[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}")
 
 
 def to_response(answer: Answer) -> werkzeug.Response:
-    """Turn an answer into an HTTP response.
+    """Return the HTTP response for an answer.
 
-    :param answer: the whole answer.
+    :param answer: answer of the dispatcher, or an error.
     """
     response = werkzeug.Response(
         answer.body, status=answer.status, content_type=answer.content_type
@@ -46,12 +47,12 @@
 
 
 class CallerApi:
-    """WSGI application for callers; passes other paths on.
+    """WSGI application for callers.
 
-    :param settings: body limit.
-    :param post: posts to the dispatcher.
-    :param is_ready: whether the balancer should send work here.
-    :param fallback: serves paths that are not the callers'.
+    :param settings: settings of the entry, with the largest body size.
+    :param post: sends a message to the dispatcher.
+    :param is_ready: tells whether the load balancer should send requests here.
+    :param fallback: serves all other paths.
     """
 
     def __init__(
@@ -65,27 +66,29 @@
         self._post = post
         self._is_ready = is_ready
         self._fallback = fallback
-        self._hangups = HangupWatcher()
+        self._hangup_watcher = HangupWatcher()
 
     def __call__(self, environ: t.Any, start_response: t.Any) -> t.Any:
         request = werkzeug.Request(environ)
         request.max_content_length = self._settings.max_body_bytes
         request_id = uuid.uuid4().hex
-        # A refusal here knows nothing of earlier calls with the same ticket.
-        repeat = "Idempotency-Key" in request.headers
-        outcome = Outcome.UNKNOWN if repeat else None
+        # A request that is refused here may have run in an earlier call with the
+        # same ticket.
+        has_ticket = "Idempotency-Key" in request.headers
+        outcome = Outcome.UNKNOWN if has_ticket else None
         try:
             response = self._route(request, request_id)
         except RequestEntityTooLarge:
             error: CranberrywheelError = RequestTooLargeError(
-                f"The body is over {self._settings.max_body_bytes} bytes.", "Send less."
+                f"The body has more than {self._settings.max_body_bytes} bytes.",
+                "Send a smaller body.",
             )
             response = to_response(problem_answer(request_id, error, outcome))
             response.headers["Connection"] = "close"
         except HTTPException as failure:
             error = MalformedRequestError(
                 f"The request could not be read: {failure.description}",
-                "Correct the request.",
+                "Send a valid HTTP request.",
             )
             response = to_response(problem_answer(request_id, error, outcome))
         except CranberrywheelError as error:
@@ -105,21 +108,27 @@
             )
         if path.startswith("/v1/queues/"):
             if request.method != "POST":
-                raise MalformedRequestError("Queues take POST.", "Use POST.")
-            return self._run(request, request_id, path.removeprefix("/v1/queues/"))
+                raise MalformedRequestError(
+                    f"Queues accept POST only, not {request.method[:16]!r}.",
+                    "Use POST.",
+                )
+            return self._run_request(
+                request, request_id, path.removeprefix("/v1/queues/")
+            )
         if path == "/v1/tickets" and request.method == "POST":
-            return self._tickets(request)
+            return self._issue_tickets(request)
         if path.startswith("/v1/requests/") and request.method == "GET":
-            return self._query(path.removeprefix("/v1/requests/"))
+            return self._query_ticket(path.removeprefix("/v1/requests/"))
         return self._fallback(request)
 
-    def _run(
+    def _run_request(
         self, request: werkzeug.Request, request_id: str, queue: str
     ) -> werkzeug.Response:
         timeout = request.headers.get("Request-Timeout-Ms", "0")
         if not timeout.isdecimal() or len(timeout) > 9:
             raise MalformedRequestError(
-                "Request-Timeout-Ms is not a whole number.", "Send milliseconds."
+                "Request-Timeout-Ms is not a whole number of at most 9 digits.",
+                "Send a number of milliseconds.",
             )
         traceparent = request.headers.get("traceparent", "")
         incoming = messages.IncomingRequest(
@@ -128,33 +137,36 @@
             authorization=request.headers.get("Authorization", ""),
             idempotency_key=request.headers.get("Idempotency-Key", ""),
             body=request.get_data(cache=False),
-            content_type=_header_safe(request.headers.get("Content-Type", "")),
+            content_type=_sanitize_header(request.headers.get("Content-Type", "")),
             timeout_ms=int(timeout),
             traceparent=traceparent if _TRACEPARENT.fullmatch(traceparent) else "",
         )
-        answer = self._wait(incoming, request.environ.get("werkzeug.socket"))
+        answer = self._wait_for_answer(incoming, request.environ.get("werkzeug.socket"))
         response = to_response(answer)
         self._add_next_ticket(response, incoming, answer)
         return response
 
-    def _wait(self, incoming: messages.IncomingRequest, connection: t.Any) -> Answer:
+    def _wait_for_answer(
+        self, incoming: messages.IncomingRequest, connection: t.Any
+    ) -> Answer:
         future: Future[Answer] = Future()
         self._post(messages.SubmitRequest(incoming, future))
         if connection is not None:
-            self._hangups.watch(
+            self._hangup_watcher.watch(
                 connection,
                 lambda: self._post(messages.CancelRequest(incoming.request_id)),
             )
         try:
-            return future.result(timeout=LONGEST_WAIT_S)
+            return future.result(timeout=MAX_REQUEST_WAIT_S)
         except FutureTimeoutError:
             error = UnknownOutcomeError(
-                "The request was not decided in time.", "Retry it with its ticket."
+                f"The request got no answer within {MAX_REQUEST_WAIT_S} s.",
+                "Retry it with its ticket.",
             )
             return problem_answer(incoming.request_id, error)
         finally:
             if connection is not None:
-                self._hangups.unwatch(connection)
+                self._hangup_watcher.unwatch(connection)
 
     def _add_next_ticket(
         self,
@@ -162,42 +174,48 @@
         incoming: messages.IncomingRequest,
         answer: Answer,
     ) -> None:
-        wanted = bool(incoming.idempotency_key) or answer.kind == "ticket-required"
-        if not wanted or answer.kind in ("unauthorized", "keys-not-fresh"):
+        wants_ticket = (
+            bool(incoming.idempotency_key) or answer.kind == "ticket-required"
+        )
+        if not wants_ticket or answer.kind in ("unauthorized", "keys-not-fresh"):
             return
         try:
-            tickets = self._issue(incoming.authorization, incoming.queue, 1)
+            tickets = self._request_tickets(incoming.authorization, incoming.queue, 1)
         except CranberrywheelError:
             return
         response.headers["Next-Idempotency-Key"] = tickets[0]
 
-    def _issue(self, authorization: str, queue: str, count: int) -> list[str]:
+    def _request_tickets(self, authorization: str, queue: str, count: int) -> list[str]:
         tickets: Future[list[str]] = Future()
         self._post(messages.IssueTickets(authorization, queue, count, tickets))
-        return tickets.result(timeout=ANSWER_MARGIN_S)
+        return tickets.result(timeout=DISPATCHER_TIMEOUT_S)
 
-    def _tickets(self, request: werkzeug.Request) -> werkzeug.Response:
+    def _issue_tickets(self, request: werkzeug.Request) -> werkzeug.Response:
         body = request.get_json(force=True, silent=True)
         queue = body.get("queue") if isinstance(body, dict) else None
         count = body.get("count", 1) if isinstance(body, dict) else 0
         if not isinstance(queue, str):
-            raise UnknownQueueError("No queue was named.", 'Send {"queue": NAME}.')
+            raise UnknownQueueError(
+                'The body has no string "queue".', 'Send {"queue": NAME}.'
+            )
         if not isinstance(count, int) or not 1 <= count <= MAX_TICKETS_PER_CALL:
             raise MalformedRequestError(
-                "The count is out of range.",
-                f"Ask for 1 to {MAX_TICKETS_PER_CALL} tickets.",
+                f"The count is not a whole number from 1 to {MAX_TICKETS_PER_CALL}.",
+                "Request a valid number of tickets.",
             )
-        tickets = self._issue(request.headers.get("Authorization", ""), queue, count)
+        tickets = self._request_tickets(
+            request.headers.get("Authorization", ""), queue, count
+        )
         return werkzeug.Response(
             json.dumps({"tickets": tickets}), content_type="application/json"
         )
 
-    def _query(self, ticket: str) -> werkzeug.Response:
+    def _query_ticket(self, ticket: str) -> werkzeug.Response:
         future: Future[Answer] = Future()
         self._post(messages.QueryTicket(ticket, future))
-        return to_response(future.result(timeout=ANSWER_MARGIN_S))
+        return to_response(future.result(timeout=DISPATCHER_TIMEOUT_S))
 
 
-def _header_safe(value: str) -> str:
-    """Drop values that could not be passed on as one header line."""
+def _sanitize_header(value: str) -> str:
+    """Return a header value, or ``""`` if it does not fit in one header line."""
     return value if value.isprintable() and len(value) < 256 else ""
--- a/src/cranberrywheel/process/entry_state.py
+++ b/src/cranberrywheel/process/entry_state.py
@@ -1,4 +1,4 @@
-"""State of one entry process that its dispatcher task owns."""
+"""State of one entry process, owned by its dispatcher task."""
 
 import dataclasses
 import random
@@ -26,13 +26,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Links:
-    """How the dispatcher reaches the other tasks.
+    """Functions with which the dispatcher sends messages to other tasks.
 
-    :param to_targets: posts to the target client.
-    :param to_store: posts to the store session.
-    :param to_peers: posts to the peer service.
-    :param to_self: posts to the dispatcher itself.
-    :param forward: sends a request to a peer: (peer address, request, timeout).
+    :param to_targets: sends a message to the target client.
+    :param to_store: sends a message to the store session.
+    :param to_peers: sends a load report to the peer service.
+    :param to_self: sends a message to the dispatcher itself.
+    :param forward: forwards a request to a peer; takes the peer's address, the
+        request and a timeout in milliseconds.
     """
 
     to_targets: t.Callable[[t.Any], None]
@@ -44,12 +45,13 @@
 
 @dataclasses.dataclass(kw_only=True)
 class EntryState:
-    """Everything that the dispatcher task decides on.
+    """All data on which the dispatcher task bases its decisions.
 
-    :param snapshot: the configuration in force, or ``None`` before the first.
-    :param marked_ids: keys withdrawn since that version was written.
-    :param drained: whether the process has finished its last request before a
-        stop; it accepts none from then on.
+    :param snapshot: configuration in force, or ``None`` before the first one.
+    :param drained: whether a stop was requested and the last request has finished;
+        no request is accepted from then on.
+    :param revoked_key_ids: keys revoked since the snapshot was written.
+    :param forwards_by_id: requests that a peer handles, by request id.
     """
 
     settings: EntrySettings
@@ -64,7 +66,7 @@
     metrics: Metrics
     snapshot: ConfigurationSnapshot | None = None
     drained: bool = False
-    marked_ids: set[str] = dataclasses.field(default_factory=set)
+    revoked_key_ids: set[str] = dataclasses.field(default_factory=set)
     freshness: FreshnessTracker = dataclasses.field(default_factory=FreshnessTracker)
     timers: Timers = dataclasses.field(default_factory=Timers)
     estimates: RunTimeEstimates = dataclasses.field(default_factory=RunTimeEstimates)
@@ -83,8 +85,8 @@
 ) -> EntryState:
     """Create the state of a process that has just started.
 
-    :param process_id: id of this process; names it in tickets.
-    :param links: the other tasks.
+    :param process_id: id of this process; it becomes part of its tickets.
+    :param links: functions that reach the other tasks.
     :param rng: source of all random choices.
     """
     workers = WorkerTable(settings.zone, rng)
--- a/src/cranberrywheel/process/long_waits.py
+++ b/src/cranberrywheel/process/long_waits.py
@@ -1,4 +1,4 @@
-"""Relief for requests that wait too long: displaced work and peers' units."""
+"""Helps requests that wait too long: preempts other tasks or forwards to a peer."""
 
 from cranberrywheel.logs import PartLogger
 from cranberrywheel.process.attempt import Attempt, AttemptState
@@ -7,30 +7,30 @@
 from cranberrywheel.process.request_handler import RequestHandler
 from cranberrywheel.request.displacement import RunningTask, choose_displaced
 
-#: Urgent work must start within 1.5 s; a checkpoint takes part of the rest.
+#: Urgent work must start within 1.5 s, and a checkpoint takes part of that time.
 URGENT_WAIT_MS = 500
-#: The next unit of this process is likely to come back sooner than this.
+#: A unit of this process is usually freed sooner than this.
 UNIT_WAIT_MS = 200
 
 _log = PartLogger("relief")
 
 
-def _describe(attempt: Attempt) -> RunningTask:
+def _to_running_task(attempt: Attempt) -> RunningTask:
     return RunningTask(
         request_id=attempt.task_id,
         urgent=attempt.request.urgent,
         can_checkpoint=attempt.queue.can_checkpoint,
         can_throttle=False,
         expected_end_ms=round(attempt.created_ms + attempt.expected_ms),
-        displaced=attempt.displaced,
+        displaced=attempt.preempted,
     )
 
 
-def displace_for_urgent(state: EntryState, attempts: AttemptManager) -> None:
-    """Checkpoint non-urgent tasks where urgent requests wait for a slot.
+def preempt_for_urgent(state: EntryState, attempt_manager: AttemptManager) -> None:
+    """Checkpoint non-urgent tasks in pools where urgent requests wait for a slot.
 
-    :param state: the dispatcher's state.
-    :param attempts: the tasks of this process.
+    :param state: state of the dispatcher.
+    :param attempt_manager: manager of the tasks of this process.
     """
     assert state.snapshot is not None
     now_ms = state.clock.now_ms()
@@ -43,25 +43,29 @@
         if state.workers.has_capacity(pool, now_ms):
             continue
         running = [
-            _describe(attempt)
-            for attempt in attempts.running()
+            _to_running_task(attempt)
+            for attempt in attempt_manager.running()
             if attempt.worker.pool == pool and attempt.state is AttemptState.RUNNING
         ]
         for task_id in choose_displaced(running, waiting, now_ms):
-            attempt = attempts.find(task_id)
+            attempt = attempt_manager.find(task_id)
             if attempt is not None:
-                attempt.displaced = True
-                attempts.control(task_id, "checkpoint")
-                _log.event("displaced task", request_id=task_id, service=service)
+                attempt.preempted = True
+                attempt_manager.control(task_id, "checkpoint")
+                _log.event(
+                    "preempted task for urgent requests",
+                    request_id=task_id,
+                    service=service,
+                )
 
 
-def forward_for_units(state: EntryState, flow: RequestHandler) -> None:
-    """Pass requests of teams without a unit here to peers with idle ones.
+def forward_to_idle_peers(state: EntryState, request_handler: RequestHandler) -> None:
+    """Forward requests of teams without a free unit here to peers with idle units.
 
-    Ticketed requests stay, because only this process may start them.
+    Requests with a ticket stay, because only this process may start them.
 
-    :param state: the dispatcher's state.
-    :param flow: forwards the requests.
+    :param state: state of the dispatcher.
+    :param request_handler: forwards the requests.
     """
     now_ms = state.clock.now_ms()
     for pending in state.pending:
@@ -80,4 +84,4 @@
         peer = state.fleet.take_idle_unit(request.team)
         if peer and queue.remove(request.request_id):
             for waiter in state.pending.remove(pending):
-                flow.forward(peer, waiter)
+                request_handler.forward(peer, waiter)
--- a/src/cranberrywheel/process/messages.py
+++ b/src/cranberrywheel/process/messages.py
@@ -1,7 +1,7 @@
 """Messages between the tasks of one entry process.
 
-Each task owns its state and reads its inbox, a ``queue.SimpleQueue``. Replies
-go through a ``concurrent.futures.Future`` in the message.
+Each task owns its state and reads its inbox, a ``queue.SimpleQueue``. A message
+that expects a reply carries a ``concurrent.futures.Future`` for it.
 """
 
 import dataclasses
@@ -18,13 +18,14 @@
 class IncomingRequest:
     """A caller's request before authorization.
 
-    :param request_id: assigned by the connection that received it.
+    :param request_id: id assigned by the connection that received the request.
     :param queue: queue name from the path.
     :param authorization: the ``Authorization`` header, or ``""``.
     :param idempotency_key: the ``Idempotency-Key`` header, or ``""``.
-    :param timeout_ms: the caller's timeout, or 0 for the queue's.
-    :param forwarded: true if a peer sent it; it is then not forwarded again.
-    :param query: true if a peer only asks what is known about the ticket.
+    :param timeout_ms: timeout set by the caller in milliseconds, or 0 to use that
+        of the queue.
+    :param forwarded: whether a peer sent the request; it is then not forwarded again.
+    :param query: whether a peer only asks for the state of the ticket.
     """
 
     request_id: str
@@ -41,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SubmitRequest:
-    """To the dispatcher: run a request; the future gets its answer."""
+    """To the dispatcher: run a request and set its answer on the future."""
 
     incoming: IncomingRequest
     answer: "Future[Answer]"
@@ -49,14 +50,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class CancelRequest:
-    """To the dispatcher: the caller hung up."""
+    """To the dispatcher: the caller disconnected."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True)
 class ForwardFinished:
-    """To the dispatcher: a forwarded request has its answer or an error."""
+    """To the dispatcher: the answer to a forwarded request arrived, or it failed."""
 
     request_id: str
     answer: "Future[Answer]"
@@ -64,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class IssueTickets:
-    """To the dispatcher: the future gets a list of tickets."""
+    """To the dispatcher: issue tickets and set them on the future."""
 
     authorization: str
     queue: str
@@ -74,9 +75,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class QueryTicket:
-    """To the dispatcher: the future gets what is known about a ticket.
+    """To the dispatcher: report the state of a ticket.
 
-    :param forwarded: true if a peer asks; the query is then not passed on.
+    :param answer: gets the result of the ticket's request, or its state.
+    :param forwarded: whether a peer asks; the query is then not forwarded again.
     """
 
     ticket: str
@@ -86,9 +88,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class ExportResults:
-    """To the dispatcher: the future gets the results of finished tickets.
+    """To the dispatcher: export the results of finished tickets.
 
-    They come by process id: its own, and those that were handed over to it.
+    :param exports: gets the results with the id of the process that issued the
+        tickets: this process and those that handed their results over to it.
     """
 
     exports: "Future[list[tuple[str, TicketExport]]]"
@@ -96,30 +99,34 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReadStatus:
-    """To the dispatcher: the future gets a JSON-ready status."""
+    """To the dispatcher: set a JSON-serializable status on the future."""
 
     status: "Future[dict[str, t.Any]]"
 
 
 @dataclasses.dataclass(frozen=True)
 class ReadFleet:
-    """To the dispatcher: the future gets pool records and instances, JSON-ready."""
+    """To the dispatcher: set the pool records and the instances on the future.
+
+    Both are JSON-serializable.
+    """
 
     fleet: "Future[dict[str, t.Any]]"
 
 
 @dataclasses.dataclass(frozen=True)
 class ConfigurationAdopted:
-    """To the dispatcher: a higher version is in force."""
+    """To the dispatcher: a newer configuration version is in force."""
 
     snapshot: ConfigurationSnapshot
 
 
 @dataclasses.dataclass(frozen=True)
 class FreshnessProven:
-    """To the dispatcher: the keys were current at ``proven_ms``.
+    """To the dispatcher: the API keys were up to date at ``proven_ms``.
 
-    :param proven_ms: own clock reading before the proving read was sent.
+    :param proven_ms: reading of the local clock, in milliseconds, before the read
+        that proved it was sent.
     """
 
     proven_ms: int
@@ -127,14 +134,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class KeyRevoked:
-    """To the dispatcher: a key was withdrawn and must stop at once."""
+    """To the dispatcher: an API key was revoked and must be refused from now on."""
 
     key_id: str
 
 
 @dataclasses.dataclass(frozen=True)
 class PoolAssignment:
-    """One instance of a ``pools/<zone>`` record."""
+    """Pool and state of one instance in a ``pools/<zone>`` record."""
 
     worker: str
     pool: str
@@ -143,9 +150,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class PoolsChanged:
-    """To the dispatcher: a newer ``pools/<zone>`` record.
+    """To the dispatcher: a ``pools/<zone>`` record has a newer revision.
 
-    :param body: the whole JSON body, for operators.
+    :param body: the whole JSON body, shown to operators.
     """
 
     zone: str
@@ -156,17 +163,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class InstancesListed:
-    """To the dispatcher: a new instance list."""
+    """To the dispatcher: a newer instance list was read."""
 
     listed: InstanceList
 
 
 @dataclasses.dataclass(frozen=True)
 class QuotaUnitsHeld:
-    """To the dispatcher: the units this process holds of one team.
+    """To the dispatcher: the quota units that this process holds of one team.
+
+    Sent after a confirmed write or read. Before the store session transfers units
+    to another process, it sends :class:`ReleaseQuotaUnits`.
 
-    Sent after a confirmed write or read. The store session sends a lower count
-    before it gives units away; see :class:`ReleaseQuotaUnits`.
+    :param long_units: units on a long lease, which outlasts a store outage.
+    :param short_units: units on a short lease.
     """
 
     team: str
@@ -176,9 +186,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class QuotaLeaseRenewed:
-    """To the dispatcher: the lease was renewed.
+    """To the dispatcher: the lease on the quota units was renewed.
 
-    :param started_ms: own clock reading before the renewal was sent.
+    :param started_ms: reading of the local clock, in milliseconds, before the
+        renewal was sent.
     """
 
     started_ms: int
@@ -186,10 +197,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReleaseQuotaUnits:
-    """To the dispatcher: stop using units before they are written away.
+    """To the dispatcher: stop using units before they are removed from the record.
 
-    :param released: gets the long and short counts that are now unusable; both
-        may be lower than asked where units are in use.
+    :param released: gets the counts of long and short units that are no longer
+        used; units with a running request stay, so both may be lower than asked.
     """
 
     team: str
@@ -200,10 +211,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class QuotaDemand:
-    """To the store session: use and demand per team, sent every second.
+    """To the store session: quota units in use and requested, sent periodically.
 
-    :param in_use_by_team: units with a running request.
-    :param waiting_by_team: requests that wait for a unit.
+    :param in_use_by_team: number of units with a running request.
+    :param waiting_by_team: number of requests that wait for a unit.
     """
 
     in_use_by_team: dict[str, int]
@@ -212,7 +223,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PeerLoad:
-    """What a peer said about its load, per team and service."""
+    """Load of one process for one team and service, as sent to its peers."""
 
     team: str
     service: str
@@ -223,7 +234,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PeerReport:
-    """To the dispatcher: the load part of a peer's last exchange."""
+    """To the dispatcher: load and addresses from a peer's latest exchange."""
 
     process_id: str
     zone: str
@@ -237,7 +248,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PeerLost:
-    """To the dispatcher: a peer has not been heard within its timeout."""
+    """To the dispatcher: no exchange with a peer succeeded within its timeout."""
 
     process_id: str
 
@@ -252,7 +263,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LoadReport:
-    """To the peer task: own load for the next exchange."""
+    """To the peer task: load of this process for the next exchange."""
 
     loads: tuple[PeerLoad, ...]
     in_flight_by_worker: dict[str, int]
@@ -262,10 +273,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class ApplyConfiguration:
-    """To the store session: write a new operators' text.
+    """To the store session: store a new configuration text.
 
-    :param expected_text_version: the version that the operator edited.
-    :param version: gets the new text version, or an error.
+    :param expected_text_version: version of the text that the operator edited.
+    :param version: gets the version of the new text, or an error.
     """
 
     text: str
@@ -275,7 +286,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class CreateKey:
-    """To the store session: create a key; the future gets the whole key once."""
+    """To the store session: create an API key.
+
+    :param key: gets the key including its secret, which cannot be read later.
+    """
 
     team: str
     key: "Future[str]"
@@ -283,10 +297,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class RevokeKey:
-    """To the store session: withdraw a key.
+    """To the store session: revoke an API key.
 
-    :param result: gets ``{"stored": bool, "confirmed": [...], "unconfirmed": [...]}``
-        with process ids.
+    :param result: gets ``{"stored": bool, "confirmed": [...], "unconfirmed": [...]}``,
+        with the ids of the processes that confirmed the revocation or did not.
     """
 
     key_id: str
@@ -295,6 +309,6 @@
 
 @dataclasses.dataclass(frozen=True)
 class Stop:
-    """To any task: finish; the future is set when it is done."""
+    """To any task: stop; the future is set when the task has finished."""
 
     done: "Future[None]"
--- a/src/cranberrywheel/process/placement.py
+++ b/src/cranberrywheel/process/placement.py
@@ -1,4 +1,4 @@
-"""Requests between queues and workers: placement, results, retries."""
+"""Starts queued requests on workers, and handles their results and retries."""
 
 from cranberrywheel.connection.target_client import CHECKPOINTED_KIND
 from cranberrywheel.connection.target_messages import AttemptEnd
@@ -17,8 +17,9 @@
 from cranberrywheel.request.problem import problem_answer
 from cranberrywheel.request.retry import blames_request, plan_retry
 
-#: Workers that must say "does not fit" before a request counts as impossible.
-MISFITS_TO_REFUSE = 2
+#: A request is refused as too large once this many workers answered that it does
+#: not fit.
+MAX_SIZE_REFUSALS = 2
 
 _log = PartLogger("placement")
 
@@ -31,19 +32,19 @@
 
     def __init__(self, state: EntryState) -> None:
         self._state = state
-        self.attempts = AttemptManager(
+        self.attempt_manager = AttemptManager(
             state.clock,
             state.settings.limits,
             state.ledger,
             state.workers,
             state.timers,
             state.links.to_targets,
-            self._attempt_ended,
+            self._handle_result,
         )
-        self.flow = RequestHandler(state, self.attempts.stop)
+        self.request_handler = RequestHandler(state, self.attempt_manager.stop)
 
     def start_queued(self) -> None:
-        """Start queued requests while there are slots and units for them."""
+        """Start queued requests while worker slots and quota units are free."""
         if self._state.snapshot is None:
             return
         now_ms = self._state.clock.now_ms()
@@ -64,17 +65,18 @@
                 if request is None:
                     break
                 if not self._start(request, pool, now_ms):
-                    self.flow.push(request)
+                    self.request_handler.push(request)
                     break
             for request in fair_queue.take_expired(now_ms):
-                self.flow.drop_expired(request)
+                self.request_handler.drop_expired(request)
 
     def _start(self, request: Request, pool: str, now_ms: int) -> bool:
         pending = self._state.pending.find(request.request_id)
         if pending is None:
             return True
         workers = self._state.workers
-        # A probe may fail, so it takes a request that can be retried and can wait.
+        # A probe may fail, so only requests that can be retried and are not urgent
+        # are used for it.
         may_probe = request.idempotent and not request.urgent
         tried, racks = pending.tried_workers, pending.avoided_racks
         worker = workers.choose(pool, now_ms, tried, racks, may_probe)
@@ -83,10 +85,10 @@
         if worker is None:
             return False
         assert self._state.snapshot is not None
-        found = self._state.snapshot.configuration.queues_by_name[request.queue]
-        expected_ms = self._state.estimates.run_ms(found.name, found.run_ms)
-        task_id = self.attempts.start(
-            request, found, worker, expected_ms, pending.checkpoint
+        queue = self._state.snapshot.configuration.queues_by_name[request.queue]
+        expected_ms = self._state.estimates.run_ms(queue.name, queue.run_ms)
+        task_id = self.attempt_manager.start(
+            request, queue, worker, expected_ms, pending.checkpoint
         )
         if task_id is None:
             return False
@@ -97,7 +99,7 @@
         self._state.fleet.count_started(request.team, request.service)
         self._state.metrics.timing("start_wait_ms", now_ms - request.arrived_ms)
         _log.event(
-            "routed request",
+            "sent request to worker",
             request_id=request.request_id,
             queue=request.queue,
             team=request.team or "-",
@@ -108,7 +110,7 @@
         )
         return True
 
-    def _attempt_ended(self, result: AttemptResult) -> None:
+    def _handle_result(self, result: AttemptResult) -> None:
         request = result.attempt.request
         if result.last:
             self._state.fleet.count_ended(request.team, request.service)
@@ -124,15 +126,17 @@
             return
         pending.may_have_run = pending.may_have_run or result.started
         if result.end in (AttemptEnd.RAN, AttemptEnd.FAILED):
-            self._target_answered(pending, result)
+            self._handle_target_answer(pending, result)
         elif result.kind == CHECKPOINTED_KIND:
-            self._continue_later(pending, result.attempt.task_id)
+            self._requeue_checkpointed(pending, result.attempt.task_id)
         elif not result.started:
-            self._not_started(pending, result)
+            self._handle_not_started(pending, result)
         elif result.last or request.idempotent:
-            self._attempt_broke(pending, result)
+            self._handle_broken_attempt(pending, result)
 
-    def _target_answered(self, pending: PendingRequest, result: AttemptResult) -> None:
+    def _handle_target_answer(
+        self, pending: PendingRequest, result: AttemptResult
+    ) -> None:
         request = pending.request
         if result.end is AttemptEnd.RAN:
             answer = Answer(
@@ -148,41 +152,46 @@
             answer = problem_answer(
                 request.request_id,
                 TargetFailedError(
-                    "The target ran the request and it failed.",
-                    "Look at the target's own messages.",
+                    "The target ran the request and reported a failure.",
+                    "Look for the cause in the target's log.",
                 ),
             )
         if request.ticket:
             self._state.tickets.finish(
                 request.ticket, answer, self._state.clock.now_ms()
             )
-        self.flow.finish(pending, answer)
+        self.request_handler.finish(pending, answer)
 
-    def _not_started(self, pending: PendingRequest, result: AttemptResult) -> None:
+    def _handle_not_started(
+        self, pending: PendingRequest, result: AttemptResult
+    ) -> None:
         if result.kind == "does-not-fit":
-            pending.misfits += 1
-            if pending.misfits >= MISFITS_TO_REFUSE:
-                self.flow.finish_not_run(
+            pending.size_refusals += 1
+            if pending.size_refusals >= MAX_SIZE_REFUSALS:
+                self.request_handler.finish_not_run(
                     pending,
                     NeverFitsError(
-                        f"No worker of the pool fits queue {pending.request.queue!r}.",
-                        "Ask an operator to check the declared sizes.",
+                        f"Requests of queue {pending.request.queue!r} do not fit on "
+                        "the workers of its pool.",
+                        "Ask an operator to check the sizes declared for the queue.",
                     ),
                 )
                 return
         if self._retry(pending, result, certainly_not_started=True):
             return
         error = OverloadedError(
-            "No worker accepted the request in time.", "Retry later."
+            "No worker accepted the request before its deadline.", "Retry later."
         )
-        self.flow.finish_not_run(pending, error)
+        self.request_handler.finish_not_run(pending, error)
 
-    def _attempt_broke(self, pending: PendingRequest, result: AttemptResult) -> None:
+    def _handle_broken_attempt(
+        self, pending: PendingRequest, result: AttemptResult
+    ) -> None:
         if not self._retry(pending, result, certainly_not_started=False):
-            self.flow.finish_unknown(pending, result.detail)
+            self.request_handler.finish_unknown(pending, result.detail)
 
-    def _continue_later(self, pending: PendingRequest, task_id: str) -> None:
-        """Queue a checkpointed request again; it continues where it stopped."""
+    def _requeue_checkpointed(self, pending: PendingRequest, task_id: str) -> None:
+        """Queue a checkpointed request again, to continue from its checkpoint."""
         pending.checkpoint = task_id
         pending.task_id = ""
         self._requeue(pending)
@@ -194,9 +203,9 @@
         if request.service not in self._state.queues_by_service:
             return
         try:
-            self.flow.push(request)
+            self.request_handler.push(request)
         except OverloadedError as error:
-            self.flow.finish_not_run(pending, error)
+            self.request_handler.finish_not_run(pending, error)
 
     def _retry(
         self,
@@ -210,7 +219,10 @@
             pending.failed_workers.add(result.attempt.worker.name)
             if blames_request(pending.failed_workers):
                 self._state.workers.retract_failures(pending.failed_workers, now_ms)
-                _log.event("request failed everywhere", request_id=request.request_id)
+                _log.event(
+                    "request failed on several workers; no more retries",
+                    request_id=request.request_id,
+                )
                 return False
         delay_ms = plan_retry(
             request,
@@ -230,7 +242,7 @@
             self._state.fleet.add_leaving(result.attempt.worker.name)
         self._state.metrics.count("retries")
         _log.event(
-            "will retry request",
+            "request will be retried",
             request_id=request.request_id,
             worker=result.attempt.worker.name,
             reason=result.kind or result.end.value,
--- a/src/cranberrywheel/process/request_handler.py
+++ b/src/cranberrywheel/process/request_handler.py
@@ -1,4 +1,4 @@
-"""Requests between callers and queues: admission, tickets, deadlines, answers."""
+"""Handles callers' requests: admission, tickets, deadlines and answers."""
 
 import dataclasses
 import typing as t
@@ -23,7 +23,7 @@
 )
 from cranberrywheel.process.entry_state import EntryState
 from cranberrywheel.process.pending import Forward, PendingRequest, Waiter
-from cranberrywheel.process.ticket_calls import claimed_answer
+from cranberrywheel.process.ticket_calls import build_claim_answer
 from cranberrywheel.request.model import Answer, Outcome, Request
 from cranberrywheel.request.problem import problem_answer
 from cranberrywheel.request.ticket import ClaimState, owner_of
@@ -32,10 +32,10 @@
 
 
 class RequestHandler:
-    """Handles callers' messages; part of the dispatcher task.
+    """Admits requests to their queues and answers them; part of the dispatcher task.
 
-    :param state: the dispatcher's state.
-    :param stop_attempt: stops a task that nobody waits for.
+    :param state: state of the dispatcher.
+    :param stop_attempt: stops the task with an id; used when no caller waits for it.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._stop_attempt = stop_attempt
 
     def submit(self, message: messages.SubmitRequest) -> None:
-        """Admit a caller's request, or answer it at once."""
+        """Queue a caller's request, or answer it at once."""
         incoming = message.incoming
         now_ms = self._state.clock.now_ms()
         try:
@@ -62,56 +62,60 @@
                 kind=error.kind,
             )
             self._state.metrics.count(f"refused.{error.kind}")
-            message.answer.set_result(self._refusal(incoming, error))
+            message.answer.set_result(self._build_refusal(incoming, error))
 
-    def _refusal(
+    def _build_refusal(
         self, incoming: messages.IncomingRequest, error: RequestError
     ) -> Answer:
-        """Describe a refusal; a ticket's earlier call may have run all the same."""
+        """Return the answer to a refused request.
+
+        The outcome is unknown if an earlier call with the same ticket may have run.
+        """
         answer = problem_answer(incoming.request_id, error)
         now_ms = self._state.clock.now_ms()
-        ran = incoming.idempotency_key and self._state.tickets.may_have_run(
+        may_have_run = incoming.idempotency_key and self._state.tickets.may_have_run(
             incoming.idempotency_key, now_ms
         )
-        if not ran or answer.outcome is not Outcome.NOT_RUN:
+        if not may_have_run or answer.outcome is not Outcome.NOT_RUN:
             return answer
         return problem_answer(incoming.request_id, error, Outcome.UNKNOWN)
 
     def _admit(self, incoming: messages.IncomingRequest, now_ms: int) -> Request:
         if self._state.drained:
             raise NotReadyError(
-                "This instance is shutting down.", "Retry at another instance."
+                "This instance is shutting down.", "Retry on another instance."
             )
-        found = find_queue(self._state.snapshot, incoming.queue)
+        queue = find_queue(self._state.snapshot, incoming.queue)
         assert self._state.snapshot is not None
         team = authorize_team(
             self._state.snapshot,
-            found,
+            queue,
             incoming.authorization,
             self._state.freshness,
-            self._state.marked_ids,
+            self._state.revoked_key_ids,
             self._state.settings,
             now_ms,
         )
-        request = build_request(incoming, found, team, self._state.settings, now_ms)
-        pool = self._state.snapshot.configuration.pool_of_queue(found.name)
-        if self._state.estimates.never_fits(found.name, pool.cores, pool.memory_mb):
+        request = build_request(incoming, queue, team, self._state.settings, now_ms)
+        pool = self._state.snapshot.configuration.pool_of_queue(queue.name)
+        if self._state.estimates.never_fits(queue.name, pool.cores, pool.memory_mb):
             raise NeverFitsError(
-                f"Requests of queue {found.name!r} use more than a worker of pool "
-                f"{pool.name!r} has.",
+                f"Requests of queue {queue.name!r} use more cores or memory than a "
+                f"worker of pool {pool.name!r} has.",
                 "Ask an operator for a pool of larger workers.",
             )
-        if not found.idempotent and not incoming.idempotency_key:
+        if not queue.idempotent and not incoming.idempotency_key:
             raise TicketRequiredError(
-                f"Queue {found.name!r} is not idempotent and needs a ticket.",
+                f"Queue {queue.name!r} is not idempotent and needs a ticket.",
                 "Send the ticket from Next-Idempotency-Key as Idempotency-Key.",
             )
         return request
 
     def _answer_by_ticket(self, request: Request, waiter: Waiter, now_ms: int) -> bool:
-        """Handle a ticket that needs no new run here.
+        """Answer a request from the state of its ticket, if it needs no new run here.
 
         :returns: false if the request is new and this process may start it.
+        :raises TicketRequiredError: if the ticket is malformed.
         """
         try:
             owner = owner_of(request.ticket)
@@ -124,7 +128,8 @@
             request.ticket, request.team, request.queue, now_ms
         )
         if claim.state is ClaimState.UNKNOWN and not waiter.incoming.forwarded:
-            # Results that the owner handed over come first: it has stopped.
+            # The ticket was not in the results handed over to this process, so its
+            # owner may still be running.
             peer = self._state.fleet.peer_address(owner)
             if peer and owner != self._state.process_id:
                 self.forward(peer, waiter)
@@ -135,41 +140,46 @@
             pending = self._state.pending.find_ticket(request.ticket)
             if pending is not None:
                 self._state.pending.add_waiter(pending, waiter)
-                self._watch_deadline(waiter)
+                self._schedule_deadline(waiter)
                 return True
-        self._answer(waiter, claimed_answer(request.request_id, claim))
+        self._answer(waiter, build_claim_answer(request.request_id, claim))
         return True
 
     def _enqueue(self, request: Request, waiter: Waiter, now_ms: int) -> None:
         self._state.retry_budget.note_request(now_ms)
         try:
-            self._check_wait(request, now_ms)
+            self._check_expected_wait(request, now_ms)
             self.push(request)
         except OverloadedError:
             if request.ticket:
                 self._state.tickets.release(request.ticket, now_ms)
             raise
         self._state.pending.add(PendingRequest(request=request, waiters=[waiter]))
-        self._watch_deadline(waiter)
+        self._schedule_deadline(waiter)
 
     def push(self, request: Request) -> None:
-        """Queue a request for as long as it can still end before its deadline.
+        """Queue a request until it can no longer end before its deadline.
 
-        :raises OverloadedError: if the queue has no place for it.
+        :raises OverloadedError: if the queue is full.
         """
         assert self._state.snapshot is not None
-        found = self._state.snapshot.configuration.queues_by_name[request.queue]
-        run_ms = self._state.estimates.run_ms(found.name, found.run_ms)
-        # Learned run times vary; a request gets at least half of its time to start.
-        latest_ms = request.deadline_ms - run_ms
-        half_ms = (request.arrived_ms + request.deadline_ms) / 2
+        queue = self._state.snapshot.configuration.queues_by_name[request.queue]
+        run_ms = self._state.estimates.run_ms(queue.name, queue.run_ms)
+        # Run times are estimates, so a request may wait for at least half of the
+        # time until its deadline.
+        latest_start_ms = request.deadline_ms - run_ms
+        halfway_ms = (request.arrived_ms + request.deadline_ms) / 2
         self._state.queues_by_service[request.service].push(
-            request, round(max(latest_ms, half_ms))
+            request, round(max(latest_start_ms, halfway_ms))
         )
 
-    def _check_wait(self, request: Request, now_ms: int) -> None:
+    def _check_expected_wait(self, request: Request, now_ms: int) -> None:
+        """Refuse a request that would probably miss its deadline in the queue.
+
+        :raises OverloadedError: with the expected wait.
+        """
         assert self._state.snapshot is not None
-        found = self._state.snapshot.configuration.queues_by_name[request.queue]
+        queue = self._state.snapshot.configuration.queues_by_name[request.queue]
         pool = self._state.snapshot.configuration.pool_of_queue(request.queue)
         slots = (
             self._state.fleet.slots_of_pool(pool.name) // self._state.fleet.entry_count
@@ -180,25 +190,25 @@
             self._state.fleet.shares_by_team.get(request.team, 0.0),
         )
         wait_ms = self._state.estimates.wait_ms(
-            request.queue, found.run_ms, round(queued), max(1, slots)
+            request.queue, queue.run_ms, round(queued), max(1, slots)
         )
-        run_ms = self._state.estimates.run_ms(request.queue, found.run_ms)
+        run_ms = self._state.estimates.run_ms(request.queue, queue.run_ms)
         if queued and now_ms + wait_ms + run_ms > request.deadline_ms:
             raise OverloadedError(
-                f"Queue {request.queue!r} would take {wait_ms / 1000:.1f} s, longer "
-                "than the deadline.",
+                f"The expected wait in queue {request.queue!r} is "
+                f"{wait_ms / 1000:.1f} s, so the request would miss its deadline.",
                 "Retry later or with a longer Request-Timeout-Ms.",
                 retry_after_s=max(1, round(wait_ms / 1000)),
             )
 
-    def _watch_deadline(self, waiter: Waiter) -> None:
+    def _schedule_deadline(self, waiter: Waiter) -> None:
         def check() -> None:
             if not waiter.answer.done():
-                self._deadline_passed(waiter)
+                self._handle_deadline(waiter)
 
         self._state.timers.add(waiter.deadline_ms, check)
 
-    def _deadline_passed(self, waiter: Waiter) -> None:
+    def _handle_deadline(self, waiter: Waiter) -> None:
         pending = self._state.pending.find_waiter(waiter.incoming.request_id)
         if pending is None:
             return
@@ -209,17 +219,19 @@
             return
         error = UnknownOutcomeError(
             "The deadline passed while the request was running.",
-            "Ask GET /v1/requests/<ticket> later."
+            "Get the result from GET /v1/requests/<ticket> later."
             if request.ticket
             else "Retry with a longer Request-Timeout-Ms.",
         )
         self._answer(waiter, problem_answer(request.request_id, error))
-        self._leave(pending, waiter)
+        self._remove_waiter(pending, waiter)
 
     def cancel(self, request_id: str) -> None:
-        """Handle a caller that disconnected.
+        """Cancel the wait of a caller that disconnected.
+
+        A request that has not started and has no other caller leaves its queue.
 
-        :param request_id: id that the caller's connection was given.
+        :param request_id: id given to the caller's connection.
         """
         forward = self._state.forwards_by_id.get(request_id)
         if forward is not None:
@@ -231,21 +243,21 @@
         waiter = next(w for w in pending.waiters if w.incoming.request_id == request_id)
         request = pending.request
         error = CancelledError("The caller disconnected.", "Send the request again.")
-        waits = not pending.task_id and not pending.checkpoint
-        if len(pending.waiters) == 1 and waits:
+        is_queued = not pending.task_id and not pending.checkpoint
+        if len(pending.waiters) == 1 and is_queued:
             self._state.queues_by_service[request.service].remove(request.request_id)
             _log.event("dropped a cancelled request", request_id=request_id)
             self.finish_not_run(pending, error)
             return
         self._answer(waiter, problem_answer(request_id, error))
-        self._leave(pending, waiter)
+        self._remove_waiter(pending, waiter)
 
-    def _leave(self, pending: PendingRequest, waiter: Waiter) -> None:
-        """Drop a waiter of a request that has been started.
+    def _remove_waiter(self, pending: PendingRequest, waiter: Waiter) -> None:
+        """Remove a waiter from a request that has been started.
 
-        A non-idempotent task runs on, also from its checkpoint: stopping it half-way
-        would leave an unknown outcome, and the ticket's owner can still report its
-        result.
+        An idempotent task without waiters is stopped. A non-idempotent one continues,
+        also from a checkpoint: stopping it would leave an unknown outcome, and this
+        process can still report its result for the ticket.
         """
         self._state.pending.drop_waiter(pending, waiter)
         if pending.waiters or not pending.request.idempotent:
@@ -255,9 +267,9 @@
             self._stop_attempt(pending.task_id)
 
     def finish_not_run(self, pending: PendingRequest, error: RequestError) -> None:
-        """Refuse a request that waits for a worker.
+        """Answer a request that is not running with an error.
 
-        An earlier attempt may have run; the answer is then ``unknown``.
+        The outcome is ``unknown`` if an earlier attempt may have run.
         """
         if pending.may_have_run:
             self.finish_unknown(pending, error.message)
@@ -269,16 +281,17 @@
         self.finish(pending, problem_answer(pending.request.request_id, error))
 
     def finish_unknown(self, pending: PendingRequest, detail: str) -> None:
-        """Answer a request that may have run.
+        """Answer a request that may have run with an unknown outcome.
 
-        :param detail: what happened last, one sentence.
+        :param detail: last error, one sentence.
         """
         request = pending.request
         answer = problem_answer(
             request.request_id,
             UnknownOutcomeError(
-                f"An attempt was started and gave no whole answer: {detail}",
-                "Retry if the request is idempotent; else check with the target.",
+                f"An attempt was started but its answer was not received: {detail}",
+                "Retry if the request is idempotent; otherwise check its effect on "
+                "the target.",
             ),
         )
         if request.ticket:
@@ -288,13 +301,13 @@
         self.finish(pending, answer)
 
     def drop_expired(self, request: Request) -> None:
-        """Refuse a request whose deadline passed in the queue."""
+        """Refuse a request whose deadline passed while it was queued."""
         pending = self._state.pending.find(request.request_id)
         if pending is not None:
             self.finish_not_run(pending, _queue_deadline_error())
 
     def finish(self, pending: PendingRequest, answer: Answer) -> None:
-        """Answer every caller that waits for a request."""
+        """Remove a request and answer every caller that waits for it."""
         for waiter in self._state.pending.remove(pending):
             self._answer(waiter, answer)
 
@@ -306,9 +319,9 @@
             )
 
     def forward(self, peer_address: str, waiter: Waiter) -> None:
-        """Let a peer handle a request and pass its answer on.
+        """Forward a request to a peer; the waiter gets the peer's answer.
 
-        :param peer_address: where the peer listens for other entries.
+        :param peer_address: address on which the peer serves other entries.
         """
         request_id = waiter.incoming.request_id
         timeout_ms = max(1, waiter.deadline_ms - self._state.clock.now_ms())
@@ -322,7 +335,7 @@
             )
         )
 
-    def forward_finished(self, message: messages.ForwardFinished) -> None:
+    def handle_forward_finished(self, message: messages.ForwardFinished) -> None:
         """Answer the caller of a forwarded request."""
         forward = self._state.forwards_by_id.pop(message.request_id, None)
         if forward is None:
@@ -330,16 +343,16 @@
         if not message.answer.cancelled() and message.answer.exception() is None:
             self._answer(forward.waiter, message.answer.result())
             return
-        # Even an unsent forward leaves open whether an earlier call with this
-        # ticket ran.
+        # The outcome is unknown even if nothing was sent, because an earlier call
+        # with this ticket may have run.
         error = UnknownOutcomeError(
-            "The instance that handles the request did not answer.",
+            "The instance to which the request was forwarded did not answer.",
             "Retry with the same ticket, or retry an idempotent request.",
         )
         self._answer(forward.waiter, problem_answer(message.request_id, error))
 
     def drop_removed_queues(self) -> None:
-        """Refuse what is queued for queues that the new version lacks."""
+        """Refuse queued requests of queues that the new configuration lacks."""
         assert self._state.snapshot is not None
         for pending in self._state.pending:
             request = pending.request
@@ -349,7 +362,8 @@
                 request.request_id
             ):
                 error = UnknownQueueError(
-                    "The queue was removed.", "Use another queue."
+                    f"Queue {request.queue!r} was removed from the configuration.",
+                    "Use another queue.",
                 )
                 self.finish_not_run(pending, error)
 
--- a/src/cranberrywheel/process/ticket_calls.py
+++ b/src/cranberrywheel/process/ticket_calls.py
@@ -1,4 +1,4 @@
-"""Callers' calls about tickets, and what a claimed ticket means for them."""
+"""Issues tickets, and answers callers from the state of a ticket."""
 
 import dataclasses
 import uuid
@@ -16,51 +16,51 @@
 from cranberrywheel.request.problem import problem_answer
 from cranberrywheel.request.ticket import Claim, ClaimState, owner_of
 
-#: Less than a caller of the query waits for its answer.
+#: Shorter than the wait of the caller API for the answer to a query.
 QUERY_TIMEOUT_MS = 3_000
 
 
-def claimed_answer(request_id: str, claim: Claim) -> Answer:
-    """Describe to a caller what is known about a ticket that is not to be started.
+def build_claim_answer(request_id: str, claim: Claim) -> Answer:
+    """Return the answer for a ticket whose request is not started.
 
-    :param claim: any state but ``NEW``.
+    :param claim: state of the ticket; any but ``NEW``.
     """
     if claim.state is ClaimState.FINISHED:
         return dataclasses.replace(claim.answer, request_id=request_id)
     if claim.state is ClaimState.NOT_RUN:
         error: RequestError = TicketExpiredError(
-            "The ticket can no longer start its request, which was never run.",
-            "Send the request again with a fresh ticket.",
+            "The ticket has expired, and its request was never run.",
+            "Send the request again with a new ticket.",
         )
     else:
         error = UnknownOutcomeError(
-            "The process that could tell what became of the request is gone.",
-            "Check with the target before you send a new request.",
+            "The process that held the result of the request is gone.",
+            "Check its effect on the target before sending a new request.",
         )
     return problem_answer(request_id, error)
 
 
 class TicketCalls:
-    """Issues tickets and answers queries; part of the dispatcher task.
+    """Issues tickets and answers ticket queries; part of the dispatcher task.
 
-    :param state: the dispatcher's state.
+    :param state: state of the dispatcher.
     """
 
     def __init__(self, state: EntryState) -> None:
         self._state = state
 
     def issue(self, message: messages.IssueTickets) -> None:
-        """Issue tickets to the team of a key."""
+        """Issue tickets to the team of an API key."""
         now_ms = self._state.clock.now_ms()
         try:
-            found = find_queue(self._state.snapshot, message.queue)
+            queue = find_queue(self._state.snapshot, message.queue)
             assert self._state.snapshot is not None
             team = authorize_team(
                 self._state.snapshot,
-                found,
+                queue,
                 message.authorization,
                 self._state.freshness,
-                self._state.marked_ids,
+                self._state.revoked_key_ids,
                 self._state.settings,
                 now_ms,
             )
@@ -73,7 +73,7 @@
         except RequestError as error:
             message.tickets.set_exception(error)
 
-    def _ask_owner(self, peer_address: str, message: messages.QueryTicket) -> None:
+    def _query_owner(self, peer_address: str, message: messages.QueryTicket) -> None:
         incoming = messages.IncomingRequest(
             request_id=uuid.uuid4().hex,
             queue="",
@@ -85,19 +85,19 @@
             query=True,
         )
 
-        def copy(done: "Future[Answer]") -> None:
+        def set_answer(done: "Future[Answer]") -> None:
             if not done.cancelled() and done.exception() is None:
                 message.answer.set_result(done.result())
                 return
             claim = Claim(ClaimState.UNKNOWN)
-            message.answer.set_result(claimed_answer("", claim))
+            message.answer.set_result(build_claim_answer("", claim))
 
         self._state.links.forward(
             peer_address, incoming, QUERY_TIMEOUT_MS
-        ).add_done_callback(copy)
+        ).add_done_callback(set_answer)
 
     def query(self, message: messages.QueryTicket) -> None:
-        """Tell what is known about a ticket."""
+        """Answer a query about a ticket; ask its owner if this process is not it."""
         now_ms = self._state.clock.now_ms()
         try:
             claim = self._state.tickets.query(message.ticket, now_ms)
@@ -107,7 +107,7 @@
         if claim.state is ClaimState.UNKNOWN and not message.forwarded:
             peer = self._state.fleet.peer_address(owner_of(message.ticket))
             if peer:
-                self._ask_owner(peer, message)
+                self._query_owner(peer, message)
                 return
         if claim.state is ClaimState.RUNNING:
             body = b'{"state":"running"}'
@@ -121,4 +121,4 @@
                 )
             )
             return
-        message.answer.set_result(claimed_answer("", claim))
+        message.answer.set_result(build_claim_answer("", claim))
--- a/src/cranberrywheel/process/timers.py
+++ b/src/cranberrywheel/process/timers.py
@@ -1,4 +1,4 @@
-"""Callbacks that are due at a clock reading."""
+"""Callbacks scheduled by a clock reading."""
 
 import heapq
 import itertools
@@ -6,27 +6,27 @@
 
 
 class Timers:
-    """A heap of callbacks, run by the task that owns it."""
+    """Scheduled callbacks, run by the task that owns them."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, t.Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
 
     def add(self, due_ms: int, callback: t.Callable[[], None]) -> None:
-        """Run a callback at or after a clock reading.
+        """Schedule a callback.
 
-        :param due_ms: clock reading in milliseconds.
-        :param callback: runs on the owning task.
+        :param due_ms: clock reading, in milliseconds, from which the callback is due.
+        :param callback: called by :meth:`run_due`.
         """
-        heapq.heappush(self._heap, (due_ms, next(self._order), callback))
+        heapq.heappush(self._heap, (due_ms, next(self._sequence), callback))
 
     def run_due(self, now_ms: int) -> None:
-        """Run every callback that is due."""
+        """Run the callbacks that are due, including those that they add."""
         while self._heap and self._heap[0][0] <= now_ms:
             heapq.heappop(self._heap)[2]()
 
     def wait_ms(self, now_ms: int, longest_ms: int) -> int:
-        """Return how long the owner may sleep.
+        """Return the milliseconds until the next callback is due, at least 0.
 
         :param longest_ms: upper bound of the result.
         """
