--- a/src/cranberrywheel/process/long_waits.py
+++ b/src/cranberrywheel/process/long_waits.py
@@ -81,7 +81,7 @@
         ):
             continue
         queue = state.queues_by_service[request.service]
-        peer = state.fleet.take_idle_unit(request.team)
+        peer = state.fleet.reserve_idle_unit(request.team)
         if peer and queue.remove(request.request_id):
             for waiter in state.pending.remove(pending):
                 request_handler.forward(peer, waiter)
--- a/src/cranberrywheel/process/quota_manager.py
+++ b/src/cranberrywheel/process/quota_manager.py
@@ -15,7 +15,7 @@
     ENTRIES_PREFIX,
     MissingHolders,
     Registration,
-    group_by_place,
+    group_by_location,
 )
 from cranberrywheel.process.messages import (
     QuotaDemand,
@@ -105,7 +105,7 @@
                 _log.warning("ignored limit record", cause=error.message)
         self._registered_ids = {
             max(group, key=lambda r: r.revision).process_id
-            for group in group_by_place(registrations).values()
+            for group in group_by_location(registrations).values()
         }
         known = [s.record for s in self._states_by_team.values() if s.record]
         self._missing.observe(known, registrations, now_ms)
@@ -185,7 +185,7 @@
                 self._to_dispatcher(QuotaUnitsHeld(team, 0, 0))
 
     def _reregister_team(self, key: str) -> None:
-        if self._writer.is_lost(key):
+        if self._writer.has_unresolved_write(key):
             self._writer.resolve(key)
         stored = self._writer.read(key)
         if stored is None:
@@ -230,7 +230,7 @@
                 _log.warning("could not keep units", team=team, cause=error.message)
 
     def _resolve(self, team: str) -> None:
-        if self._writer.is_lost(LIMITS_PREFIX + team):
+        if self._writer.has_unresolved_write(LIMITS_PREFIX + team):
             _, current = self._writer.resolve(LIMITS_PREFIX + team)
             if current is not None:
                 self._adopt(current, force=True)
@@ -283,7 +283,7 @@
             quota_units.UnitDemand(in_use, waiting),
             self._base(record),
             self._settings.long_fraction,
-            self._peers.seen_ids(),
+            self._peers.list_recent_peer_ids(),
         )
 
     def _base(self, record: LimitRecord) -> int:
@@ -366,7 +366,7 @@
         """Return all units at shutdown; units in use stay until reclaimed."""
         for team in list(self._states_by_team):
             key = LIMITS_PREFIX + team
-            if self._writer.is_lost(key):
+            if self._writer.has_unresolved_write(key):
                 self._writer.resolve(key)
             for _ in range(RETURN_ATTEMPTS):
                 try:
