--- a/src/cranberrywheel/process/limit_record.py
+++ b/src/cranberrywheel/process/limit_record.py
@@ -1,4 +1,4 @@
-"""The ``limits/<team>`` record: which process holds how many units."""
+"""The ``limits/<team>`` record: how many quota units each process holds."""
 
 import typing as t
 
@@ -10,10 +10,13 @@
 class HolderRow(pydantic.BaseModel):
     """Units of one holder in a ``limits/<team>`` record.
 
-    :param registration: store revision of the holder's registration. It tells
-        apart two times in which the same process was missing.
-    :param wanted: total units that the holder asks others for, or 0.
-    :param target: after the limit was lowered, the units that it may keep.
+    :param long: units on a long lease.
+    :param short: units on a short lease.
+    :param registration: store revision of the holder's registration. It
+        distinguishes two absences of the same process.
+    :param wanted: total number of units that the holder requests, or 0.
+    :param target: number of units that it may keep after the limit was lowered, or
+        ``None``.
     """
 
     model_config = pydantic.ConfigDict(frozen=True, extra="forbid")
@@ -29,15 +32,16 @@
 
     @property
     def total(self) -> int:
-        """Long and short units together."""
+        """Number of units on long and short leases together."""
         return self.long + self.short
 
 
 class LimitRecord(pydantic.BaseModel):
     """Body of a ``limits/<team>`` record.
 
-    :param limit: upper limit of the team.
-    :param limit_version: configuration version that the limit comes from.
+    :param limit: limit of the team over all entries.
+    :param limit_version: configuration version that set the limit.
+    :param holders: rows by process id.
     """
 
     model_config = pydantic.ConfigDict(frozen=True, extra="forbid")
@@ -48,17 +52,17 @@
 
     @property
     def total(self) -> int:
-        """Units held by anyone."""
+        """Number of units that any process holds."""
         return sum(row.total for row in self.holders.values())
 
     @property
     def free(self) -> int:
-        """Units that nobody holds; 0 while a lowered limit is exceeded."""
+        """Number of units that no process holds; 0 while the limit is exceeded."""
         return max(0, self.limit - self.total)
 
 
 def parse(body: dict[str, t.Any]) -> LimitRecord:
-    """Read the body of a ``limits/<team>`` record.
+    """Parse the body of a ``limits/<team>`` record.
 
     :raises StoreError: if it is malformed.
     """
@@ -67,10 +71,11 @@
     except pydantic.ValidationError as error:
         first = error.errors(include_url=False, include_input=False)[0]
         raise StoreError(
-            f"A limit record is malformed: {first['msg']}.", "Restore the record."
+            f"A limit record is malformed: {first['msg']}.",
+            "Restore the record.",
         ) from None
 
 
 def dump(record: LimitRecord) -> dict[str, t.Any]:
-    """Return the JSON-ready body of a record."""
+    """Return the JSON-serializable body of a record."""
     return record.model_dump(exclude_defaults=True)
--- a/src/cranberrywheel/process/quota_units.py
+++ b/src/cranberrywheel/process/quota_units.py
@@ -1,8 +1,12 @@
-"""Units of a team's upper limit: use by this process, and the shared record.
+"""Quota units: the share of a team's limit that each process may use.
 
-``QuotaLedger`` counts the use of units that this process holds. The functions
-compute the next state of a ``limits/<team>`` record; the sum over its holders
-exceeds its limit only while holders release units after the limit was lowered.
+A team's limit on concurrent requests is divided into units, one per request. Each
+process (a holder) leases some of them through the ``limits/<team>`` record: long
+leases outlast a store outage, short ones can be transferred sooner.
+
+:class:`QuotaLedger` counts the use of the units of this process. The functions
+compute the next state of a record. The sum over the holders exceeds the limit only
+while holders release units after the limit was lowered.
 """
 
 import dataclasses
@@ -12,85 +16,93 @@
 from cranberrywheel.process.limit_record import HolderRow, LimitRecord
 from cranberrywheel.settings import LimitSettings
 
-#: Part of its base that an idle holder keeps when others want units.
+#: Fraction of its base share that an idle holder keeps when others request units.
 RESERVE_FRACTION = 0.25
-#: Allowance for clocks that run at different rates.
+#: Assumed largest difference between the rates of two clocks, as a fraction.
 CLOCK_RATE_MARGIN = 0.01
 
 
 class QuotaLedger:
-    """Counts units held and used; owned by the dispatcher.
+    """Counts the units that this process holds and uses; owned by the dispatcher.
 
-    :param settings: hold times.
+    :param settings: durations of the leases.
     """
 
     def __init__(self, settings: LimitSettings) -> None:
         self._settings = settings
         self._held_by_team: dict[str, tuple[int, int]] = {}
         self._limits_by_team: dict[str, int] = {}
-        # Units held and limit when a lower limit became known. They scale the
-        # units usable for new starts until the sum over all holders fits.
-        self._lowered_by_team: dict[str, tuple[tuple[int, int], int]] = {}
-        # Running requests of each team, the earliest first; values are unused.
+        # Units held and limit in force when a lower limit became known. Until the
+        # sum over all holders fits the new limit, the units usable for new requests
+        # are scaled down by the ratio of the limits.
+        self._held_before_lowering_by_team: dict[str, tuple[tuple[int, int], int]] = {}
+        # Ids of the running requests of each team, the earliest first.
         self._running_by_team: dict[str, dict[str, None]] = {}
         self._teams_by_request: dict[str, str] = {}
-        self._renewed_ms: int | None = None
+        self._lease_renewed_ms: int | None = None
 
     def set_held(self, team: str, long_units: int, short_units: int) -> None:
         """Set how many units of a team this process holds.
 
-        The counts come from a record whose sum fits the limit last set.
+        The counts must come from a record whose sum fits the latest limit.
         """
         self._held_by_team[team] = (max(0, long_units), max(0, short_units))
-        self._lowered_by_team.pop(team, None)
+        self._held_before_lowering_by_team.pop(team, None)
 
     def set_limit(self, team: str, limit: int) -> None:
-        """Set the upper limit of a team over all entries.
+        """Set the limit of a team over all entries.
 
-        A lower limit scales the units usable for new starts at once; the other
-        holders do the same, so their sum fits. Running requests are not stopped.
+        A lower limit scales down the units usable for new requests at once. All
+        holders do so, so that their sum fits. Running requests are not stopped.
         """
         before = self._limits_by_team.get(team, limit)
         if limit < before:
             held = self._held_by_team.get(team, (0, 0))
-            self._lowered_by_team.setdefault(team, (held, before))
-        elif team in self._lowered_by_team and limit >= self._lowered_by_team[team][1]:
-            del self._lowered_by_team[team]
+            self._held_before_lowering_by_team.setdefault(team, (held, before))
+        elif (
+            team in self._held_before_lowering_by_team
+            and limit >= self._held_before_lowering_by_team[team][1]
+        ):
+            del self._held_before_lowering_by_team[team]
         self._limits_by_team[team] = limit
 
     def note_lease_renewal(self, started_ms: int) -> None:
-        """Note a successful lease renewal.
+        """Record a successful lease renewal.
 
-        :param started_ms: own clock reading before the renewal was sent.
+        :param started_ms: reading of the local clock, in milliseconds, before the
+            renewal was sent.
         """
-        if self._renewed_ms is None or started_ms > self._renewed_ms:
-            self._renewed_ms = started_ms
+        if self._lease_renewed_ms is None or started_ms > self._lease_renewed_ms:
+            self._lease_renewed_ms = started_ms
 
-    def _valid(self, held: tuple[int, int], now_ms: int, short_hold_ms: int) -> int:
-        if self._renewed_ms is None:
+    def _count_valid(
+        self, held: tuple[int, int], now_ms: int, short_lease_ms: int
+    ) -> int:
+        if self._lease_renewed_ms is None:
             return 0
-        age_ms = now_ms - self._renewed_ms
+        age_ms = now_ms - self._lease_renewed_ms
         long_units, short_units = held
         valid = long_units if age_ms < self._settings.long_hold_ms else 0
-        if age_ms < short_hold_ms:
+        if age_ms < short_lease_ms:
             valid += short_units
         return valid
 
     def usable_units(self, team: str, now_ms: int) -> int:
-        """Return on how many units requests may start, used ones included.
+        """Return how many units requests may use, including those in use.
 
         :param team: name of the team.
-        :param now_ms: own clock reading.
+        :param now_ms: reading of the local clock in milliseconds.
         """
         settings = self._settings
-        hold_ms = settings.short_hold_ms - settings.short_hold_margin_ms
+        short_lease_ms = settings.short_hold_ms - settings.short_hold_margin_ms
         held = self._held_by_team.get(team, (0, 0))
-        valid = self._valid(held, now_ms, hold_ms)
+        valid = self._count_valid(held, now_ms, short_lease_ms)
         limit = self._limits_by_team.get(team, valid)
-        if team in self._lowered_by_team:
-            held, before = self._lowered_by_team[team]
-            # Expired units may be reclaimed already; they must not count here.
-            scaled = self._valid(held, now_ms, hold_ms) * limit // before
+        if team in self._held_before_lowering_by_team:
+            held, before = self._held_before_lowering_by_team[team]
+            # Other processes may have reclaimed expired units already, so these
+            # must not count here.
+            scaled = self._count_valid(held, now_ms, short_lease_ms) * limit // before
             valid = min(valid, scaled)
         return min(valid, limit)
 
@@ -98,15 +110,15 @@
         """Return how many more requests may start now.
 
         :param team: name of the team.
-        :param now_ms: own clock reading.
+        :param now_ms: reading of the local clock in milliseconds.
         """
         in_use = len(self._running_by_team.get(team, ()))
         return max(0, self.usable_units(team, now_ms) - in_use)
 
     def acquire_unit(self, team: str, request_id: str, now_ms: int) -> bool:
-        """Take a unit for a request that is about to start.
+        """Reserve a unit for a request that is about to start.
 
-        :returns: false if no unit is usable.
+        :returns: false if no unit is free.
         """
         if request_id in self._teams_by_request:
             return True
@@ -120,20 +132,20 @@
     def has_valid_unit(self, request_id: str, now_ms: int) -> bool:
         """Tell whether the unit of a running request is still valid.
 
-        The earliest requests count as running on long units.
+        The requests that started first are counted on the long leases.
         """
         team = self._teams_by_request.get(request_id)
         if team is None:
             return False
         held = self._held_by_team.get(team, (0, 0))
-        valid = self._valid(held, now_ms, self._settings.short_hold_ms)
+        valid = self._count_valid(held, now_ms, self._settings.short_hold_ms)
         running = self._running_by_team[team]
         if valid >= len(running):
             return True
         return request_id in list(running)[:valid]
 
     def free_unit(self, request_id: str) -> None:
-        """Free the unit of a request that has certainly ended."""
+        """Free the unit of a request that is confirmed to have ended."""
         team = self._teams_by_request.pop(request_id, None)
         if team is not None:
             self._running_by_team[team].pop(request_id, None)
@@ -141,44 +153,55 @@
     def release_units(
         self, team: str, long_units: int, short_units: int
     ) -> tuple[int, int]:
-        """Stop using units that are about to be written away.
+        """Stop using units that are about to be removed from this holder's row.
 
-        :returns: long and short units that are now unusable; lower than asked
-            where units are in use.
+        :returns: how many long and short units are no longer used; fewer than asked
+            if the others are in use.
         """
         held_long, held_short = self._held_by_team.get(team, (0, 0))
         idle = held_long + held_short - len(self._running_by_team.get(team, ()))
-        short_out = max(0, min(short_units, held_short, idle))
-        long_out = max(0, min(long_units, held_long, idle - short_out))
-        self._held_by_team[team] = (held_long - long_out, held_short - short_out)
-        return long_out, short_out
+        released_short = max(0, min(short_units, held_short, idle))
+        released_long = max(0, min(long_units, held_long, idle - released_short))
+        self._held_by_team[team] = (
+            held_long - released_long,
+            held_short - released_short,
+        )
+        return released_long, released_short
 
     def in_use_by_team(self) -> dict[str, int]:
-        """Return how many units have a running request."""
-        return {team: len(r) for team, r in self._running_by_team.items() if r}
+        """Return the number of units with a running request, by team."""
+        return {
+            team: len(requests)
+            for team, requests in self._running_by_team.items()
+            if requests
+        }
 
 
 @dataclasses.dataclass(frozen=True)
 class UnitDemand:
-    """Units with a running request, and requests that wait for one."""
+    """Demand of one holder for units of a team.
+
+    :param in_use: units with a running request.
+    :param waiting: requests that wait for a unit.
+    """
 
     in_use: int
     waiting: int
 
     @property
     def total(self) -> int:
-        """Units that would all be used at once."""
+        """Units that the holder could use at once."""
         return self.in_use + self.waiting
 
 
 @dataclasses.dataclass(frozen=True)
 class Absence:
-    """Since when a holder is known to be gone, on the observer's clock.
+    """Since when a holder is known to be gone, by the clock of the observer.
 
-    :param missing_ms: when its registration was first seen missing; ``None``
-        while it is there.
-    :param replaced_ms: when another process was first seen registered with its
-        instance, zone and address; ``None`` if that was not seen.
+    :param missing_ms: when its registration was first found missing, or ``None``
+        if it is present.
+    :param replaced_ms: when another process was first found registered with its
+        instance, zone and address, or ``None`` if there is none.
     """
 
     missing_ms: int | None
@@ -186,9 +209,10 @@
 
 
 def split_units(total: int, long_fraction: float) -> tuple[int, int]:
-    """Split a holder's units into long and short ones.
+    """Split a holder's units between long and short leases.
 
-    :returns: long and short units.
+    :param long_fraction: fraction of the units that get a long lease.
+    :returns: numbers of long and short units.
     """
     long_units = math.floor(total * long_fraction + 0.5)
     return long_units, total - long_units
@@ -202,7 +226,10 @@
 def _add_units(
     record: LimitRecord, holder: str, amount: int, long_fraction: float
 ) -> LimitRecord:
-    """Add units. No count falls, so the holder need not be asked first."""
+    """Add units to a holder.
+
+    Neither of its counts falls, so the holder need not release any first.
+    """
     row = record.holders[holder]
     long_share, _ = split_units(row.total + amount, long_fraction)
     long_gain = min(amount, max(0, long_share - row.long))
@@ -217,7 +244,7 @@
 def _remove_units(
     record: LimitRecord, holder: str, total: int, long_fraction: float
 ) -> LimitRecord:
-    """Take units away down to a total. No count rises."""
+    """Lower a holder's units to a total; neither of its counts rises."""
     row = record.holders[holder]
     long_share, short_share = split_units(total, long_fraction)
     short_units = min(row.short, max(short_share, total - row.long))
@@ -227,10 +254,11 @@
 def update_registration(
     record: LimitRecord, holder: str, row: HolderRow
 ) -> LimitRecord:
-    """Enter a holder's present registration, keeping the units that it has.
+    """Store the current registration of a holder, keeping the units that it has.
 
     :param holder: process id.
-    :param row: identity of the holder; its units are ignored.
+    :param row: registration, instance, zone and address of the holder; its units
+        are ignored.
     """
     old = record.holders.get(holder, HolderRow.model_construct())
     kept = {"long": old.long, "short": old.short, "target": old.target}
@@ -239,12 +267,12 @@
 
 
 def set_limit(record: LimitRecord, limit: int, version: int) -> LimitRecord:
-    """Enter the limit of a configuration version, unless a later one is known.
+    """Store the limit of a configuration version, unless a newer one is stored.
 
-    When the units held exceed the limit, each holder gets a target in proportion
-    to its units; the targets add up to the limit.
+    If the units held exceed the limit, each holder gets a target in proportion to
+    its units; the targets add up to the limit.
     """
-    # An equal limit is not written: every grant of a key is a new version.
+    # An equal limit is not written, because each new API key makes a new version.
     if version <= record.limit_version or limit == record.limit:
         return record
     changed = record.model_copy(update={"limit": limit, "limit_version": version})
@@ -254,15 +282,17 @@
         for holder, row in record.holders.items()
     }
     if total > limit:
-        targets = {h: row.total * limit // total for h, row in holders.items()}
-        left = limit - sum(targets.values())
-        for holder in sorted(targets, key=lambda h: (targets[h], h)):
-            if left and targets[holder] < holders[holder].total:
+        targets = {
+            holder: row.total * limit // total for holder, row in holders.items()
+        }
+        remaining = limit - sum(targets.values())
+        for holder in sorted(targets, key=lambda name: (targets[name], name)):
+            if remaining and targets[holder] < holders[holder].total:
                 targets[holder] += 1
-                left -= 1
+                remaining -= 1
         holders = {
-            h: row.model_copy(update={"target": targets[h]})
-            for h, row in holders.items()
+            holder: row.model_copy(update={"target": targets[holder]})
+            for holder, row in holders.items()
         }
     return changed.model_copy(update={"holders": holders})
 
@@ -270,9 +300,9 @@
 def shrink_to_target(
     record: LimitRecord, holder: str, in_use: int, long_fraction: float
 ) -> LimitRecord:
-    """Bring a holder towards its target after the limit was lowered.
+    """Lower a holder's units towards its target after the limit was lowered.
 
-    :param in_use: units that cannot be released yet.
+    :param in_use: units with a running request, which cannot be released yet.
     """
     row = record.holders.get(holder)
     if row is None or row.target is None:
@@ -283,7 +313,7 @@
     return record
 
 
-def _unmet(row: HolderRow) -> int:
+def _count_missing_units(row: HolderRow) -> int:
     return max(0, row.wanted - row.total)
 
 
@@ -291,32 +321,42 @@
     record: LimitRecord,
     holder: str,
     need: int,
-    base: int,
+    base_share: int,
     long_fraction: float,
     reachable: t.Collection[str],
 ) -> LimitRecord:
-    """Give idle units of a holder to those that want more.
+    """Transfer idle units of a holder to reachable holders that request more.
+
+    A receiver that only requests its base share gets the units above the donor's own
+    base share. One that requests more gets all units that the donor does not need,
+    except a reserve.
 
-    A holder that only wants its base gets units above the giver's own base. One
-    with more demand gets all that the giver does not need, except a reserve.
+    :param holder: process id of the donor.
+    :param need: units that the donor itself needs.
+    :param base_share: units that the donor holds without demand.
     """
-    reserve = math.ceil(base * RESERVE_FRACTION)
-    wanting = [h for h in record.holders if h != holder and h in reachable]
-    for taker in sorted(wanting, key=lambda h: (record.holders[h].total, h)):
-        row, own = record.holders[taker], record.holders[holder]
-        # The base of another holder may be one unit more.
-        kept = max(need, reserve if row.wanted > base + 1 else base)
-        amount = min(_unmet(row), own.total - kept)
+    reserve = math.ceil(base_share * RESERVE_FRACTION)
+    receivers = [
+        name for name in record.holders if name != holder and name in reachable
+    ]
+    for receiver in sorted(
+        receivers, key=lambda name: (record.holders[name].total, name)
+    ):
+        row, own = record.holders[receiver], record.holders[holder]
+        # The base share of another holder may be one unit larger.
+        kept = max(need, reserve if row.wanted > base_share + 1 else base_share)
+        amount = min(_count_missing_units(row), own.total - kept)
         if amount > 0:
-            record = _add_units(record, taker, amount, long_fraction)
+            record = _add_units(record, receiver, amount, long_fraction)
             record = _remove_units(record, holder, own.total - amount, long_fraction)
     return record
 
 
-def _wanted(row: HolderRow, wanted_total: int) -> int:
-    """Return the request to record; an earlier one that is close enough stays.
+def _compute_request(row: HolderRow, wanted_total: int) -> int:
+    """Return the number of units to request in the record.
 
-    Each change of it costs a write of the record.
+    A recorded request that is at most twice the needed number stays, because each
+    change costs a write of the record.
     """
     if row.total >= wanted_total:
         return 0
@@ -328,41 +368,41 @@
 def rebalance(
     record: LimitRecord,
     holder: str,
-    need: UnitDemand,
-    base: int,
+    demand: UnitDemand,
+    base_share: int,
     long_fraction: float,
     reachable: t.Collection[str] = (),
 ) -> LimitRecord:
-    """Adapt a holder's units to its need; the sum never grows above the limit.
+    """Adapt a holder's units to its demand; the sum never grows above the limit.
 
     :param holder: process id; it has a row in the record.
-    :param need: use and demand of the holder.
-    :param base: units that a holder takes without demand.
-    :param reachable: holders that were heard lately. Units lent to a holder that
-        has failed would be lost for the long hold.
-    :returns: the next record, equal to the given one if nothing should change.
+    :param demand: demand of the holder.
+    :param base_share: units that a holder takes without demand.
+    :param reachable: holders with a recent peer report. Units transferred to a
+        holder that has failed would be unusable until its long lease expires.
+    :returns: the next record, equal to the given one if nothing has to change.
     """
     if record.total > record.limit:
-        return shrink_to_target(record, holder, need.in_use, long_fraction)
+        return shrink_to_target(record, holder, demand.in_use, long_fraction)
     if record.holders[holder].target is not None:
         record = _with_row(record, holder, target=None)
-    wanted_total = min(record.limit, max(need.total, base))
+    wanted_total = min(record.limit, max(demand.total, base_share))
     gain = min(record.free, wanted_total - record.holders[holder].total)
     if gain > 0:
         record = _add_units(record, holder, gain, long_fraction)
     row = record.holders[holder]
-    wanted = _wanted(row, wanted_total)
+    wanted = _compute_request(row, wanted_total)
     if wanted != row.wanted:
         record = _with_row(record, holder, wanted=wanted)
     if wanted:
         return record
     return _transfer_idle_units(
-        record, holder, need.total, base, long_fraction, reachable
+        record, holder, demand.total, base_share, long_fraction, reachable
     )
 
 
 def remove_holder(record: LimitRecord, holder: str) -> LimitRecord:
-    """Remove a holder that has stopped using its units."""
+    """Remove the row of a holder that has stopped using its units."""
     holders = {h: row for h, row in record.holders.items() if h != holder}
     return record.model_copy(update={"holders": holders})
 
@@ -374,25 +414,26 @@
     now_ms: int,
     settings: LimitSettings,
 ) -> LimitRecord:
-    """Free the units of a missing or replaced holder after its hold times.
+    """Free the units of a missing or replaced holder once its leases have expired.
 
-    Unless the holder is replaced, the caller must see the registration missing
-    after it read the record.
+    Unless the holder is replaced, the caller must have found its registration
+    missing after it read the record.
 
-    :param absence: since when the holder is missing.
-    :param now_ms: the observer's clock reading.
+    :param absence: since when the holder is missing or replaced.
+    :param now_ms: reading of the observer's clock in milliseconds.
     """
     row = record.holders.get(holder)
     if row is None:
         return record
-    fence_ms = settings.start_token_ms + settings.task_lease_ms
-    # The store's clock ended the lease after short_hold_ms; the holder's own
-    # clock may have run slower meanwhile.
-    rate_ms = settings.short_hold_ms * CLOCK_RATE_MARGIN
-    short_wait_ms = fence_ms * (1 + CLOCK_RATE_MARGIN) + rate_ms
-    long_wait_ms = (settings.long_hold_ms + fence_ms) * (1 + CLOCK_RATE_MARGIN)
+    # Time until the last task that the holder started has ended on its worker.
+    task_expiry_ms = settings.start_token_ms + settings.task_lease_ms
+    # The store ended the holder's lease after short_hold_ms by its own clock; the
+    # holder's clock may have run slower meanwhile.
+    clock_drift_ms = settings.short_hold_ms * CLOCK_RATE_MARGIN
+    short_wait_ms = task_expiry_ms * (1 + CLOCK_RATE_MARGIN) + clock_drift_ms
+    long_wait_ms = (settings.long_hold_ms + task_expiry_ms) * (1 + CLOCK_RATE_MARGIN)
     if absence.replaced_ms is not None:
-        replaced_wait_ms = fence_ms * (1 + CLOCK_RATE_MARGIN)
+        replaced_wait_ms = task_expiry_ms * (1 + CLOCK_RATE_MARGIN)
         if now_ms - absence.replaced_ms >= replaced_wait_ms:
             return remove_holder(record, holder)
     if absence.missing_ms is None:
--- a/src/cranberrywheel/process/worker_health.py
+++ b/src/cranberrywheel/process/worker_health.py
@@ -1,42 +1,43 @@
-"""Evidence about a worker's failures and speed, compared with its pool."""
+"""Failure and run time statistics of workers, compared with those of their pool."""
 
 import dataclasses
 import math
 
-#: Evidence loses half its weight in this time. It must span the quiet periods, in
+#: Time in which a sample loses half its weight. It must cover the quiet periods, in
 #: which a queue has a twentieth of its mean load.
 HALF_LIFE_MS = 30_000
-#: One or two failures may be the requests' fault.
+#: One or two failures may be caused by the requests.
 MIN_FAILURES = 2.5
-#: Failure rate above that of the rest of the pool. A dependency that fails all
-#: workers alike therefore ejects none.
+#: A worker is failing if its failure rate exceeds that of the other workers by this
+#: much. A failed dependency raises all rates alike and therefore ejects no worker.
 FAILURE_MARGIN = 0.4
 MIN_DURATIONS = 5.0
-#: A worker is slow if its typical run takes this many times that of its pool.
+#: A worker is slow if its mean run time is this many times that of the others.
 SLOW_FACTOR = 3.0
 #: The difference must also exceed this many standard errors, because run times vary.
-SLOW_ERRORS = 4.0
-#: Spread of log durations assumed at least, against samples that happen to agree.
-MIN_DEVIATION = 0.2
-#: Service time assumed while no run has succeeded and none is expected.
-DEFAULT_SERVICE_MS = 1_000
+SLOW_STANDARD_ERRORS = 4.0
+#: Lower bound of the standard deviation of log durations, for the case of a few
+#: samples that happen to be equal.
+MIN_LOG_DEVIATION = 0.2
+#: Run time assumed before the first successful run if none is expected either.
+DEFAULT_RUN_MS = 1_000
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
-    """Decaying sums over the attempts on a worker or on a whole pool.
+class AttemptStats:
+    """Exponentially decaying sums over the attempts on a worker or on a whole pool.
 
-    Decay depends only on time, so a pool's tally minus a worker's is exactly that of
-    the other workers.
+    The decay depends only on time, so the sums of a pool minus those of a worker are
+    exactly those of the other workers.
 
-    :param attempts: attempts that ran.
-    :param failures: those that failed.
-    :param durations: attempts whose duration is known.
+    :param attempts: number of attempts that ran.
+    :param failures: number of attempts that failed.
+    :param durations: number of attempts whose duration is known.
     :param log_sum: sum of the logarithms of the durations. Durations are divided by
-        the run time expected of their queue, because queues with different run times
-        share a pool; without an expectation they are in milliseconds.
+        the expected run time of their queue, because queues with different run times
+        share a pool; without an expected run time, they are in milliseconds.
     :param log_squares: sum of the squares of these logarithms.
-    :param at_ms: clock reading that the sums belong to.
+    :param at_ms: clock reading at which the sums are valid.
     """
 
     attempts: float = 0.0
@@ -47,7 +48,7 @@
     at_ms: int = 0
 
     def decay(self, now_ms: int) -> None:
-        """Bring the sums to a clock reading."""
+        """Decay the sums up to a clock reading in milliseconds."""
         if now_ms <= self.at_ms:
             return
         factor = 0.5 ** ((now_ms - self.at_ms) / HALF_LIFE_MS)
@@ -59,25 +60,25 @@
         self.at_ms = now_ms
 
     def add_outcome(self, failed: bool) -> None:
-        """Count one attempt that ran."""
+        """Count an attempt that ran."""
         self.attempts += 1
         self.failures += failed
 
     def add_duration(self, log_duration: float) -> None:
-        """Count one duration by its logarithm."""
+        """Count a duration, given by its logarithm."""
         self.durations += 1
         self.log_sum += log_duration
         self.log_squares += log_duration * log_duration
 
     def remove_failure(self) -> None:
-        """Take back one failed attempt."""
-        taken = min(1.0, self.failures)
-        self.failures -= taken
-        self.attempts = max(0.0, self.attempts - taken)
-
-    def minus(self, other: "Tally") -> "Tally":
-        """Return the sums without another tally's; both at the same reading."""
-        return Tally(
+        """Remove one failed attempt."""
+        removed = min(1.0, self.failures)
+        self.failures -= removed
+        self.attempts = max(0.0, self.attempts - removed)
+
+    def minus(self, other: "AttemptStats") -> "AttemptStats":
+        """Return the difference to other sums, which must be valid at the same time."""
+        return AttemptStats(
             attempts=max(0.0, self.attempts - other.attempts),
             failures=max(0.0, self.failures - other.failures),
             durations=max(0.0, self.durations - other.durations),
@@ -87,75 +88,78 @@
         )
 
     def mean_log(self) -> float | None:
-        """Return the mean logarithm of the durations, or ``None``."""
+        """Return the mean logarithm of the durations, or ``None`` if none is known."""
         return self.log_sum / self.durations if self.durations >= 0.5 else None
 
-    def typical(self) -> float | None:
-        """Return the geometric mean duration, or ``None`` if nothing is known."""
+    def geometric_mean(self) -> float | None:
+        """Return the geometric mean of the durations, or ``None`` if none is known."""
         mean = self.mean_log()
         return None if mean is None else math.exp(mean)
 
     def deviation(self) -> float:
-        """Return the standard deviation of the logarithms."""
+        """Return the standard deviation of the logarithms, at least a lower bound."""
         mean = self.mean_log()
         if mean is None:
-            return MIN_DEVIATION
+            return MIN_LOG_DEVIATION
         variance = self.log_squares / self.durations - mean * mean
-        return max(MIN_DEVIATION, math.sqrt(max(0.0, variance)))
+        return max(MIN_LOG_DEVIATION, math.sqrt(max(0.0, variance)))
 
 
-def is_failing(worker: Tally, rest: Tally) -> bool:
-    """Tell whether a worker fails far more often than the rest of its pool.
+def is_failing(worker: AttemptStats, others: AttemptStats) -> bool:
+    """Tell whether a worker fails far more often than the others of its pool.
 
-    :param worker: its tally.
-    :param rest: that of the other workers, at the same reading.
+    :param worker: statistics of the worker.
+    :param others: statistics of the other workers, valid at the same time.
     """
     if worker.failures < MIN_FAILURES:
         return False
     rate = worker.failures / (worker.attempts + 1)
-    return rate > rest.failures / (rest.attempts + 1) + FAILURE_MARGIN
+    return rate > others.failures / (others.attempts + 1) + FAILURE_MARGIN
 
 
-def is_slow(worker: Tally, rest: Tally) -> bool:
-    """Tell whether a worker is far slower than the rest of its pool.
+def is_slow(worker: AttemptStats, others: AttemptStats) -> bool:
+    """Tell whether a worker is far slower than the others of its pool.
 
-    :param worker: its tally.
-    :param rest: that of the other workers, at the same reading.
+    :param worker: statistics of the worker.
+    :param others: statistics of the other workers, valid at the same time.
     """
-    mean, rest_mean = worker.mean_log(), rest.mean_log()
-    if mean is None or rest_mean is None:
+    mean, others_mean = worker.mean_log(), others.mean_log()
+    if mean is None or others_mean is None:
         return False
-    if min(worker.durations, rest.durations) < MIN_DURATIONS:
+    if min(worker.durations, others.durations) < MIN_DURATIONS:
         return False
-    error = rest.deviation() / math.sqrt(worker.durations)
-    return mean - rest_mean > max(math.log(SLOW_FACTOR), SLOW_ERRORS * error)
+    error = others.deviation() / math.sqrt(worker.durations)
+    return mean - others_mean > max(math.log(SLOW_FACTOR), SLOW_STANDARD_ERRORS * error)
 
 
-def is_unhealthy(worker: Tally, rest: Tally) -> bool:
-    """Tell whether a worker is failing or slow; see these functions."""
-    return is_failing(worker, rest) or is_slow(worker, rest)
+def is_unhealthy(worker: AttemptStats, others: AttemptStats) -> bool:
+    """Tell whether a worker is failing or slow compared with the others."""
+    return is_failing(worker, others) or is_slow(worker, others)
 
 
-def is_slow_run(log_duration: float, rest: Tally) -> bool:
-    """Tell whether a single run is far slower than the rest of the pool.
+def is_slow_run(log_duration: float, others: AttemptStats) -> bool:
+    """Tell whether a single run is far slower than those on the other workers.
 
-    :param log_duration: as given to :meth:`Tally.add_duration`.
-    :param rest: tally of the other workers.
+    :param log_duration: as given to :meth:`AttemptStats.add_duration`.
+    :param others: statistics of the other workers.
     """
-    mean = rest.mean_log()
+    mean = others.mean_log()
     if mean is None:
         return False
-    return log_duration - mean > max(math.log(SLOW_FACTOR), 2 * rest.deviation())
+    return log_duration - mean > max(math.log(SLOW_FACTOR), 2 * others.deviation())
 
 
-def service_ms(worker: Tally, pool: Tally, expected_ms: float | None) -> float:
-    """Return the time that a successful run would take.
+def typical_run_ms(
+    worker: AttemptStats, pool: AttemptStats, expected_ms: float | None
+) -> float:
+    """Return the milliseconds that a successful run usually takes.
 
-    :param worker: tally of the worker.
-    :param pool: tally of its pool, used while the worker has none.
-    :param expected_ms: run time expected of the queue, if durations are relative.
+    :param worker: statistics of the worker.
+    :param pool: statistics of its pool, used while the worker has none.
+    :param expected_ms: expected run time of the queue in milliseconds, if the
+        durations are relative to it.
     """
-    typical = worker.typical() or pool.typical()
-    if typical is None:
-        return expected_ms or DEFAULT_SERVICE_MS
-    return typical * (expected_ms or 1)
+    geometric_mean = worker.geometric_mean() or pool.geometric_mean()
+    if geometric_mean is None:
+        return expected_ms or DEFAULT_RUN_MS
+    return geometric_mean * (expected_ms or 1)
--- a/src/cranberrywheel/process/worker_reports.py
+++ b/src/cranberrywheel/process/worker_reports.py
@@ -1,4 +1,4 @@
-"""Asks workers over HTTP for their tasks and learns from the answers."""
+"""Polls workers over HTTP for their tasks and estimates usage from the responses."""
 
 import collections
 import concurrent.futures
@@ -14,25 +14,26 @@
 from cranberrywheel.version.configuration import Configuration
 
 TIMEOUT_MS = 1_000
-MAX_ANSWER_BYTES = 1_000_000
-#: Workers asked at once; dead ones then delay a round by little.
-ASK_THREADS = 16
-#: Fewer failures than this say little about a worker.
+MAX_RESPONSE_BYTES = 1_000_000
+#: Workers polled at the same time, so that dead ones delay a round only a little.
+POLL_THREADS = 16
+#: Fewer failed tasks than this may be due to the requests.
 MIN_FAILURES = 5
-#: Weight of one sample in the learned means. At one sample a minute, half of the
-#: weight lies on the last four hours, which cover many bursts and lulls.
+#: Weight of one sample in the moving averages. At one sample a minute, half of the
+#: weight lies on the last four hours, which cover many bursts and quiet periods.
 SAMPLE_WEIGHT = 0.003
-#: Fewer samples may all lie in one burst or one lull.
+#: Fewer samples may all lie in one burst or one quiet period.
 MIN_SAMPLES = 30
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TaskStatus:
-    """One task that a worker lists.
+    """Status of one task, as its worker reports it.
 
     :param state: ``running``, ``finished``, ``failed`` or ``stopped``.
-    :param deadline_ms: time left until its deadline, or ``None`` if not given.
-    :param cores: cores it takes, or 0 if not given.
+    :param deadline_ms: milliseconds until its deadline, or ``None`` if not reported.
+    :param cores: cores that it uses, or 0 if not reported.
+    :param memory_mb: memory that it uses, or 0 if not reported.
     """
 
     task_id: str
@@ -44,14 +45,14 @@
 
 
 def parse_tasks(body: t.Any) -> tuple[TaskStatus, ...]:
-    """Read the answer to ``GET /v1/tasks``.
+    """Parse the response to ``GET /v1/tasks``.
 
-    :param body: ``{"tasks": [...]}`` or the list itself.
+    :param body: decoded JSON, ``{"tasks": [...]}`` or the list itself.
     :raises ValueError: if it has another form.
     """
     rows = body.get("tasks") if isinstance(body, dict) else body
     if not isinstance(rows, list):
-        raise ValueError("no list of tasks")
+        raise ValueError("the response holds no list of tasks")
     try:
         return tuple(
             TaskStatus(
@@ -69,21 +70,21 @@
             for row in rows
         )
     except (AttributeError, TypeError) as error:
-        raise ValueError(f"a task is malformed: {error}") from None
+        raise ValueError(f"the response holds a malformed task: {error}") from None
 
 
 def call_worker(address: str, path: str, method: str = "GET") -> t.Any:
-    """Make one HTTP call to a worker.
+    """Send one HTTP request to a worker.
 
     :param address: ``host:port`` from the instance list.
-    :returns: the decoded JSON, or ``None`` without a usable answer.
+    :returns: the decoded JSON, or ``None`` if there is no valid response.
     """
-    answer = io.BytesIO()
+    response = io.BytesIO()
 
     def write(chunk: bytes) -> int | None:
-        if answer.tell() + len(chunk) > MAX_ANSWER_BYTES:
+        if response.tell() + len(chunk) > MAX_RESPONSE_BYTES:
             return -1
-        return answer.write(chunk)
+        return response.write(chunk)
 
     curl = pycurl.Curl()
     try:
@@ -97,7 +98,7 @@
         curl.perform()
         if curl.getinfo(pycurl.RESPONSE_CODE) != 200:
             return None
-        return json.loads(answer.getvalue())
+        return json.loads(response.getvalue())
     except (pycurl.error, ValueError):
         return None
     finally:
@@ -105,20 +106,20 @@
 
 
 class WorkerClient:
-    """Asks several workers at once."""
+    """Sends HTTP requests to several workers at the same time."""
 
     def __init__(self) -> None:
-        self._executor = concurrent.futures.ThreadPoolExecutor(ASK_THREADS, "workers")
+        self._executor = concurrent.futures.ThreadPoolExecutor(POLL_THREADS, "workers")
 
     def tasks(
         self, addresses_by_name: t.Mapping[str, str]
     ) -> dict[str, tuple[TaskStatus, ...] | None]:
-        """Return the tasks of each worker, or ``None`` for one that is silent."""
-        answers = self._executor.map(self._tasks, addresses_by_name.values())
-        return dict(zip(addresses_by_name, answers, strict=True))
+        """Fetch the tasks of each worker, or ``None`` if it did not answer."""
+        responses = self._executor.map(self._fetch_tasks, addresses_by_name.values())
+        return dict(zip(addresses_by_name, responses, strict=True))
 
     @staticmethod
-    def _tasks(address: str) -> tuple[TaskStatus, ...] | None:
+    def _fetch_tasks(address: str) -> tuple[TaskStatus, ...] | None:
         body = call_worker(address, "/v1/tasks")
         try:
             return None if body is None else parse_tasks(body)
@@ -126,12 +127,12 @@
             return None
 
     def checkpoint(self, address: str, task_id: str) -> None:
-        """Ask a worker to checkpoint a task; a refusal leaves it running."""
+        """Request a checkpoint of a task without waiting for the response."""
         path = f"/v1/tasks/{urllib.parse.quote(task_id, safe='')}/checkpoint"
         self._executor.submit(call_worker, address, path, "POST")
 
     def close(self) -> None:
-        """Wait for the calls in progress."""
+        """Wait for the requests in progress and stop the threads."""
         self._executor.shutdown()
 
 
@@ -140,7 +141,9 @@
 ) -> WorkerReport:
     """Summarize the tasks of a worker.
 
-    A running task without a known end counts with the timeout of its queue.
+    A running task without a reported deadline counts with the timeout of its queue.
+
+    :param tasks: tasks of the worker, or ``None`` if it did not answer.
     """
     if tasks is None:
         return WorkerReport(reachable=False)
@@ -162,7 +165,7 @@
 
 
 class UsageEstimator:
-    """Learns the mean number of running requests per queue in one zone."""
+    """Estimates the mean number of running requests per queue in one zone."""
 
     def __init__(self) -> None:
         self._samples = 0
@@ -172,7 +175,7 @@
     def sample(
         self, tasks_by_name: t.Mapping[str, tuple[TaskStatus, ...] | None]
     ) -> None:
-        """Add one sample of all workers of the zone."""
+        """Add one sample of the tasks of all workers in the zone."""
         running: collections.Counter[str] = collections.Counter()
         for tasks in tasks_by_name.values():
             for task in tasks or ():
@@ -183,11 +186,14 @@
         self._samples += 1
         weight = max(SAMPLE_WEIGHT, 1 / self._samples)
         for name in self._busy_by_queue.keys() | running.keys():
-            known = self._busy_by_queue.get(name, 0.0)
-            self._busy_by_queue[name] = known + (running[name] - known) * weight
+            mean = self._busy_by_queue.get(name, 0.0)
+            self._busy_by_queue[name] = mean + (running[name] - mean) * weight
 
     def to_body(self, now_ms: int) -> dict[str, t.Any] | None:
-        """Return the body of the ``usage/<zone>`` record, or ``None`` too early."""
+        """Return the body of the ``usage/<zone>`` record.
+
+        :returns: ``None`` if there are too few samples yet.
+        """
         if self._samples < MIN_SAMPLES:
             return None
         queues = {
@@ -200,7 +206,11 @@
 def sum_usage(
     configuration: Configuration, bodies: t.Iterable[dict[str, t.Any]], now_ms: int
 ) -> dict[str, QueueUsage]:
-    """Add up the ``usage/<zone>`` records of all zones."""
+    """Return the usage by queue, summed over the ``usage/<zone>`` records.
+
+    :param bodies: bodies of the records.
+    :param now_ms: wall clock in milliseconds.
+    """
     usage: dict[str, QueueUsage] = {}
     for body in bodies:
         age_ms = max(0, now_ms - int(body["taken_ms"]))
--- a/src/cranberrywheel/process/worker_state.py
+++ b/src/cranberrywheel/process/worker_state.py
@@ -1,49 +1,49 @@
-"""Data that the worker table keeps about each worker and pool."""
+"""State that the worker table keeps of each worker and pool."""
 
 import dataclasses
 import enum
 
-from cranberrywheel.process.worker_health import Tally
+from cranberrywheel.process.worker_health import AttemptStats
 from cranberrywheel.request.routing import SamplingList
 
-#: Workers refuse a token older than 2 s. The rest is left for sending the start.
-TOKEN_USABLE_MS = 1_500
+#: Workers refuse a start token older than 2 s, and sending the start takes time.
+MAX_TOKEN_AGE_MS = 1_500
 FIRST_BACKOFF_MS = 2_000
 MAX_BACKOFF_MS = 60_000
-#: A worker that stayed healthy this long starts again at the first backoff.
+#: After this long without an ejection, a worker starts again at the first backoff.
 BACKOFF_RESET_MS = 300_000
 
 
 class AttemptVerdict(enum.Enum):
-    """How an attempt on a worker ended."""
+    """How an attempt on a worker ended, for the health statistics."""
 
     OK = "ok"
-    #: It ran and the worker reported a failure.
+    #: The worker ran it and reported a failure.
     FAILED = "failed"
     #: The connection failed or broke before the answer.
     UNREACHABLE = "unreachable"
-    #: The worker answered that it did not start it.
+    #: The worker answered that it did not start the task.
     REFUSED = "refused"
     #: The caller cancelled it or its deadline passed while it ran.
     CANCELLED = "cancelled"
 
     @property
     def is_failure(self) -> bool:
-        """Whether it speaks against the worker."""
+        """Whether it counts as a failure of the worker."""
         return self in (AttemptVerdict.FAILED, AttemptVerdict.UNREACHABLE)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WorkerRow:
-    """What the configuration, pools and instance list say about a worker.
+    """A worker as given by the configuration, the pool records and the instance list.
 
     :param name: unique name.
-    :param address: IP address and port.
+    :param address: ``host:port`` of the worker.
     :param zone: availability zone.
-    :param rack: rack.
-    :param pool: pool that it belongs to.
-    :param slots: tasks that it runs at once.
-    :param serving: whether its pool state is ``serving``.
+    :param rack: rack within the zone.
+    :param pool: pool that the worker belongs to.
+    :param slots: number of tasks that the worker runs at once.
+    :param serving: whether its state in the pool record is ``serving``.
     """
 
     name: str
@@ -55,23 +55,23 @@
     serving: bool
 
     @property
-    def place(self) -> tuple[str, str, str]:
-        """What identifies the process behind the name: pool, zone and address."""
+    def identity(self) -> tuple[str, str, str]:
+        """Pool, zone and address; if they change, the name has another process."""
         return self.pool, self.zone, self.address
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class WorkerState:
-    """A worker with its load, health and start token."""
+    """Load, health and start token of one worker."""
 
     row: WorkerRow
     listed: bool = True
     leaving: bool = False
     own_in_flight: int = 0
     peer_in_flight: int = 0
-    #: Slots held by recent failures and refusals.
+    #: Number of slots that count as used after recent failures and refusals.
     penalties: int = 0
-    tally: Tally = dataclasses.field(default_factory=Tally)
+    stats: AttemptStats = dataclasses.field(default_factory=AttemptStats)
     ejected_until_ms: int | None = None
     ejections: int = 0
     reinstated_ms: int = 0
@@ -80,21 +80,21 @@
     token_asked_ms: int = 0
 
     def load(self) -> int:
-        """Return the slots that count as used."""
+        """Return the number of slots that count as used."""
         return self.own_in_flight + self.peer_in_flight + self.penalties
 
     def has_capacity(self) -> bool:
-        """Whether it may get work and has a free slot, apart from its health."""
-        listed = self.listed and self.row.serving and not self.leaving
-        return listed and self.load() < self.row.slots
+        """Whether it may get requests and has a free slot, whatever its health."""
+        is_available = self.listed and self.row.serving and not self.leaving
+        return is_available and self.load() < self.row.slots
 
-    def fresh_token(self, now_ms: int) -> str | None:
-        """Return the start token if the worker will still accept it."""
-        fresh = now_ms - self.token_asked_ms < TOKEN_USABLE_MS
+    def usable_token(self, now_ms: int) -> str | None:
+        """Return the start token, or ``None`` if there is none or it is too old."""
+        fresh = now_ms - self.token_asked_ms < MAX_TOKEN_AGE_MS
         return self.token if self.token and fresh else None
 
     def next_backoff_ms(self, now_ms: int) -> int:
-        """Count an ejection and return the time until its first probe."""
+        """Count an ejection and return the milliseconds until its first probe."""
         healthy_ms = now_ms - self.reinstated_ms
         if not self.probing and healthy_ms > BACKOFF_RESET_MS:
             self.ejections = 0
@@ -105,13 +105,18 @@
 
 @dataclasses.dataclass(slots=True)
 class PoolState:
-    """A pool with the lists that its workers are sampled from."""
-
-    near: SamplingList[WorkerState] = dataclasses.field(default_factory=SamplingList)
-    far: SamplingList[WorkerState] = dataclasses.field(default_factory=SamplingList)
-    #: Ejected workers whose backoff has passed.
+    """Sampling lists and statistics of one pool."""
+
+    #: Workers with a free slot in the zone of this process, and in other zones.
+    same_zone: SamplingList[WorkerState] = dataclasses.field(
+        default_factory=SamplingList
+    )
+    other_zones: SamplingList[WorkerState] = dataclasses.field(
+        default_factory=SamplingList
+    )
+    #: Ejected workers whose backoff has ended.
     probes: SamplingList[WorkerState] = dataclasses.field(default_factory=SamplingList)
-    #: Ejected workers in the order of their ejection.
+    #: All ejected workers in the order of their ejection.
     ejected: dict[WorkerState, None] = dataclasses.field(default_factory=dict)
-    tally: Tally = dataclasses.field(default_factory=Tally)
-    most_ejected: int = 0
+    stats: AttemptStats = dataclasses.field(default_factory=AttemptStats)
+    max_ejected: int = 0
