--- a/src/cranberrywheel/process/entry.py
+++ b/src/cranberrywheel/process/entry.py
@@ -1,4 +1,4 @@
-"""Wires the tasks of one entry instance and runs it until it is told to stop."""
+"""Creates the tasks of an entry instance and runs it until a stop is requested."""
 
 import random
 import threading
@@ -24,41 +24,42 @@
 from cranberrywheel.request.ticket import TicketExport
 from cranberrywheel.settings import EntrySettings
 
-HAND_OVER_WAIT_S = 5
-#: The system may give a signal to any thread. Python runs the handler on the main
-#: thread only, which must therefore not block without a bound.
-SIGNAL_POLL_S = 0.2
-STORE_STOP_WAIT_S = 5
+HANDOVER_TIMEOUT_S = 5
+#: The operating system may deliver a signal to any thread, but Python runs the handler
+#: on the main thread only, which must therefore not block indefinitely.
+SIGNAL_POLL_INTERVAL_S = 0.2
+STORE_STOP_TIMEOUT_S = 5
 
 _log = PartLogger("entry")
 
 
 def read_token(path: str) -> str:
-    """Read the operators' bearer token.
+    """Read the bearer token of the operators.
 
-    :param path: file that holds the token in its first line.
-    :raises SettingsError: if the file cannot be read or is empty.
+    :param path: file with the token in its first line.
+    :raises SettingsError: if the file cannot be read or has no token.
     """
     try:
         with open(path, encoding="utf-8") as file:
             token = file.readline().strip()
     except (OSError, UnicodeDecodeError) as error:
         raise SettingsError(
-            f"The operators' token cannot be read: {error}.",
+            f"The operator token cannot be read: {error}.",
             "Check operator_token_file in [entry].",
         ) from None
     if not token:
         raise SettingsError(
-            f"{path} is empty.", "Write the operators' token into its first line."
+            f"{path} has no token in its first line.",
+            "Write the operator token into the first line.",
         )
     return token
 
 
 class Entry:
-    """One entry instance: its tasks and their order of start and stop.
+    """One entry instance: creates its tasks, starts and stops them in order.
 
-    :param settings: checked settings.
-    :raises SettingsError: if the operators' token cannot be read.
+    :param settings: validated settings.
+    :raises SettingsError: if the operator token cannot be read.
     """
 
     def __init__(self, settings: EntrySettings) -> None:
@@ -115,7 +116,7 @@
         return answer
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send work here."""
+        """Tell whether the load balancer should send requests here."""
         return (
             not self._stop_requested.is_set()
             and self._exchange.holder.snapshot is not None
@@ -124,8 +125,8 @@
     def start(self) -> None:
         """Start all tasks.
 
-        The peer port is bound before the registration, because the registration
-        tells others that no older process owns the address.
+        The peer port is bound before this process registers in the store, because the
+        registration tells others that no older process uses the address.
         """
         self._dispatcher.start()
         self._targets.start()
@@ -140,21 +141,24 @@
         )
 
     def request_stop(self) -> None:
-        """Ask for a graceful stop; safe in a signal handler."""
+        """Request a graceful stop; safe in a signal handler."""
         self._stop_requested.set()
 
     def run(self) -> None:
         """Run until a stop is requested, then shut down gracefully."""
         self.start()
-        while not self._stop_requested.wait(SIGNAL_POLL_S):
+        while not self._stop_requested.wait(SIGNAL_POLL_INTERVAL_S):
             pass
         self._stop()
 
     def _stop(self) -> None:
-        _log.event("leaving the balancer", delay_ms=self._settings.leave_delay_ms)
+        _log.event(
+            "not ready; waiting for the load balancer",
+            delay_ms=self._settings.leave_delay_ms,
+        )
         Clock().sleep_ms(self._settings.leave_delay_ms)
-        # Each step is tried even if one before it failed: a process that hangs in
-        # its shutdown keeps its port and its units.
+        # Each step runs even if one before it failed, because a process that hangs in
+        # its shutdown keeps its port and its quota units.
         for step in (
             self._http.close_listener,
             self._wait_for_requests,
@@ -169,7 +173,9 @@
                 step()
             except Exception as error:
                 _log.warning(
-                    "shutdown step failed", step=step.__name__, error=repr(error)
+                    "shutdown step failed; continuing",
+                    step=step.__name__,
+                    error=repr(error),
                 )
         _log.event("stopped", process=self._exchange.process_id)
 
@@ -181,12 +187,12 @@
     def _return_units(self) -> None:
         done: Future[None] = Future()
         self._store.inbox.put(messages.Stop(done))
-        done.result(timeout=STORE_STOP_WAIT_S)
+        done.result(timeout=STORE_STOP_TIMEOUT_S)
 
     def _hand_over(self) -> None:
         exported: Future[list[tuple[str, TicketExport]]] = Future()
         self._dispatcher.post(messages.ExportResults(exported))
-        exports = exported.result(timeout=HAND_OVER_WAIT_S)
+        exports = exported.result(timeout=HANDOVER_TIMEOUT_S)
         pending: list[tuple[str, t.Any]] = [
             (peer.peer_address, self._peers.hand_over(peer.peer_address, *export))
             for peer in self._exchange.peers()
@@ -195,6 +201,6 @@
         ]
         for address, future in pending:
             try:
-                future.result(timeout=HAND_OVER_WAIT_S)
+                future.result(timeout=HANDOVER_TIMEOUT_S)
             except (CranberrywheelError, FutureTimeoutError) as error:
-                _log.warning("hand-over failed", peer=address, error=repr(error))
+                _log.warning("handover to peer failed", peer=address, error=repr(error))
--- a/src/cranberrywheel/process/peer_service.py
+++ b/src/cranberrywheel/process/peer_service.py
@@ -1,4 +1,4 @@
-"""Calls between entry processes: a grpclib server and client on one thread."""
+"""Serves and sends gRPC calls between entry processes, on one asyncio thread."""
 
 import asyncio
 import concurrent.futures
@@ -36,14 +36,16 @@
 
 #: Longest wait for a connection to a peer.
 CONNECT_TIMEOUT_MS = 1_000
-#: Longest wait for the answer to an exchange or a fetched record.
+#: Longest wait for the answer to any call but a forwarded request.
 CALL_TIMEOUT_MS = 2_000
-#: Time beyond the request's timeout in which its answer may still arrive.
+#: Time after the timeout of a forwarded request in which its answer may still
+#: arrive.
 FORWARD_GRACE_MS = 500
 START_TIMEOUT_MS = 10_000
 CLOSE_TIMEOUT_MS = 1_000
-#: How long requests may still run on a connection that is no longer used.
-RETIRED_CHANNEL_MS = 120_000
+#: Time until a connection that gets no more requests is closed; requests that were
+#: sent on it may finish until then.
+RETIRED_CHANNEL_LIFETIME_MS = 120_000
 CALL_ERRORS = (
     OSError,
     TimeoutError,
@@ -57,7 +59,7 @@
 
 
 class _Handlers(PeerBase):
-    """Server side of the calls; runs on the asyncio thread."""
+    """Serves the calls of peers; runs on the asyncio thread."""
 
     def __init__(
         self,
@@ -67,18 +69,18 @@
         ],
         cancel_forwarded: t.Callable[[str], None],
         import_results: t.Callable[[str, TicketExport], None],
-        note_malformed: t.Callable[[str, PeerError], None],
+        count_malformed: t.Callable[[str, PeerError], None],
     ) -> None:
         self._exchange = exchange
         self._submit_forwarded = submit_forwarded
         self._cancel_forwarded = cancel_forwarded
         self._import_results = import_results
-        #: Set before the service cancels its calls.
+        #: Whether the service is stopping; set before it cancels its calls.
         self.stopping = False
-        self._note_malformed = note_malformed
+        self._count_malformed = count_malformed
 
-    def _refuse(self, call: str, error: PeerError) -> grpclib.exceptions.GRPCError:
-        self._note_malformed(call, error)
+    def _reject(self, call: str, error: PeerError) -> grpclib.exceptions.GRPCError:
+        self._count_malformed(call, error)
         return grpclib.exceptions.GRPCError(Status.INVALID_ARGUMENT, error.message)
 
     async def _receive(self, call: str, stream: t.Any) -> t.Any:
@@ -87,8 +89,11 @@
         except DecodeError:
             message = None
         if message is None:
-            error = PeerError("A peer sent no readable message.", "Check its version.")
-            raise self._refuse(call, error)
+            error = PeerError(
+                f"A peer sent a {call} message that cannot be decoded.",
+                "Check the version of the peer.",
+            )
+            raise self._reject(call, error)
         return message
 
     async def Exchange(self, stream: t.Any) -> None:
@@ -96,7 +101,7 @@
         try:
             self._exchange.merge_state(state, None)
         except PeerError as error:
-            raise self._refuse("Exchange", error) from None
+            raise self._reject("Exchange", error) from None
         await stream.send_message(self._exchange.build_state())
 
     async def FetchConfiguration(self, stream: t.Any) -> None:
@@ -118,8 +123,8 @@
             forwarded=True,
         )
         try:
-            # Shielded, so that a peer that hangs up does not cancel the future
-            # that the dispatcher sets.
+            # The shield keeps a peer that disconnects from cancelling the future that
+            # the dispatcher sets.
             answer = await asyncio.shield(
                 asyncio.wrap_future(self._submit_forwarded(incoming))
             )
@@ -129,8 +134,8 @@
             self._cancel_forwarded(incoming.request_id)
             if not self.stopping:
                 raise
-            # grpclib answers nothing to a cancelled call, and the peer would wait
-            # for its whole timeout.
+            # grpclib sends no answer to a cancelled call, so the peer would wait for
+            # its whole timeout.
             raise grpclib.exceptions.GRPCError(Status.UNAVAILABLE) from None
         await stream.send_message(encode_answer(answer))
 
@@ -142,7 +147,7 @@
                 (r.ticket, decode_answer(r.answer)) for r in message.results
             )
         except PeerError as error:
-            raise self._refuse("HandOver", error) from None
+            raise self._reject("HandOver", error) from None
         for mark in message.marks:
             self._exchange.add_tombstone(mark.key_id)
         export = TicketExport(forgotten_ms=message.forgotten_ms, results=results)
@@ -151,16 +156,17 @@
 
 
 class PeerService:
-    """Owns the connections to other entries and runs the periodic exchange.
+    """Manages the connections to other entries and runs the periodic exchange.
 
-    :param settings: address, interval and fan-out.
-    :param clock: own clock.
-    :param exchange: state to send and to merge into.
+    :param settings: listening address, exchange interval and fan-out.
+    :param clock: local clock.
+    :param exchange: state that is sent to peers, and into which theirs is merged.
     :param submit_forwarded: runs a request that a peer forwarded; its future
         gets an answer or an error.
-    :param cancel_forwarded: takes the id of a forwarded request whose peer hung up.
-    :param import_results: takes the process id and ticket results of a peer that
-        shuts down; called on the asyncio thread and must not block.
+    :param import_results: called with the process id and the ticket results of a peer
+        that shuts down, on the asyncio thread; must not block.
+    :param cancel_forwarded: called with the id of a forwarded request whose peer
+        disconnected.
     """
 
     def __init__(
@@ -185,32 +191,32 @@
             submit_forwarded,
             cancel_forwarded,
             import_results,
-            self._note_malformed,
+            self._count_malformed,
         )
         self._thread = threading.Thread(target=self._run, name="peer", daemon=True)
-        self._started: concurrent.futures.Future[None] = concurrent.futures.Future()
-        # Exchanges have connections of their own: they are closed when an exchange
-        # fails, which must not end a forwarded request.
+        self._listening: concurrent.futures.Future[None] = concurrent.futures.Future()
+        # Exchanges use separate connections, because a connection is closed when an
+        # exchange on it fails, which must not end a forwarded request.
         self._exchange_channels: dict[str, grpclib.client.Channel] = {}
         self._forward_channels: dict[str, grpclib.client.Channel] = {}
-        self._exchanges: set[asyncio.Task[None]] = set()
+        self._exchange_tasks: set[asyncio.Task[None]] = set()
         self._busy_addresses: set[str] = set()
-        self._turns: list[str] = []
+        self._round_robin_addresses: list[str] = []
         self._stop_event = asyncio.Event()
         self._random = random.Random()
-        #: Messages dropped because they were malformed.
+        #: Number of messages that were dropped because they were malformed.
         self.malformed_count = 0
 
     def start(self) -> None:
-        """Listen and start the exchange.
+        """Start to listen and to exchange state.
 
-        Returns when the port is bound. The registration in the store must come
-        after this, because it tells others that the address is taken.
+        Returns when the port is bound. This process must register in the store only
+        after this, because the registration claims the address.
 
         :raises OSError: if the port cannot be bound.
         """
         self._thread.start()
-        self._started.result(START_TIMEOUT_MS / 1000)
+        self._listening.result(START_TIMEOUT_MS / 1000)
 
     def stop(self) -> None:
         """Close the connections and end the thread."""
@@ -219,7 +225,7 @@
             self._thread.join()
 
     def report_load(self, load: LoadReport) -> None:
-        """Take the dispatcher's load for the next exchanges."""
+        """Set the load to send in the next exchanges."""
         self._exchange.set_load(load)
 
     def forward(
@@ -228,9 +234,10 @@
         """Send a request to a peer.
 
         :param peer_address: address of the peer's service.
-        :param timeout_ms: time that the request may take.
-        :returns: gets the answer; or :class:`PeerUnreachableError` if the request
-            was not sent, or :class:`UnknownOutcomeError` if the peer may have run it.
+        :param timeout_ms: timeout of the request in milliseconds.
+        :returns: a future that gets the answer, or :class:`PeerUnreachableError` if
+            the request was not sent, or :class:`UnknownOutcomeError` if the peer may
+            have run it.
         """
         message = peer_pb2.ForwardRequest(
             queue=incoming.queue,
@@ -243,14 +250,16 @@
             query=incoming.query,
             request_id=incoming.request_id,
         )
-        return self._submit(self._forward(peer_address, message, timeout_ms))
+        return self._run_on_loop(self._forward(peer_address, message, timeout_ms))
 
     def hand_over(
         self, peer_address: str, process_id: str, export: TicketExport
     ) -> "concurrent.futures.Future[int]":
-        """Hand ticket results and withdrawal marks to a peer at shutdown.
+        """Send ticket results and revocation tombstones to a peer at shutdown.
 
-        :returns: gets the number of accepted results, or :class:`PeerError`.
+        :param process_id: id of the process that issued the tickets.
+        :returns: a future that gets the number of accepted results, or
+            :class:`PeerError`.
         """
         message = peer_pb2.HandOverRequest(process_id=process_id)
         message.forgotten_ms = export.forgotten_ms
@@ -258,14 +267,16 @@
             message.results.add(ticket=ticket, answer=encode_answer(answer))
         for key_id in self._exchange.list_unwritten_tombstones():
             message.marks.add(key_id=key_id)
-        return self._submit(self._hand_over(peer_address, message))
+        return self._run_on_loop(self._hand_over(peer_address, message))
 
-    def _submit(self, work: t.Coroutine) -> t.Any:
-        return asyncio.run_coroutine_threadsafe(work, self._loop)
+    def _run_on_loop(self, coroutine: t.Coroutine) -> t.Any:
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop)
 
-    def _note_malformed(self, call: str, error: PeerError) -> None:
+    def _count_malformed(self, call: str, error: PeerError) -> None:
         self.malformed_count += 1
-        _log.warning("dropped malformed message", call=call, cause=error.message)
+        _log.warning(
+            "dropped malformed message from a peer", call=call, cause=error.message
+        )
 
     def _run(self) -> None:
         asyncio.set_event_loop(self._loop)
@@ -279,15 +290,15 @@
         try:
             await server.start(self._settings.host, self._settings.peer_port)
         except OSError as error:
-            self._started.set_exception(error)
+            self._listening.set_exception(error)
             return
-        self._started.set_result(None)
-        rounds = asyncio.ensure_future(self._run_exchanges())
+        self._listening.set_result(None)
+        exchange_loop = asyncio.ensure_future(self._run_exchanges())
         await self._stop_event.wait()
         self._handlers.stopping = True
-        rounds.cancel()
+        exchange_loop.cancel()
         server.close()
-        # Running calls are answered with an error first.
+        # Calls in progress are answered with an error before their connections close.
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(server.wait_closed(), CLOSE_TIMEOUT_MS / 1000)
         for channels in (self._exchange_channels, self._forward_channels):
@@ -302,27 +313,39 @@
         while True:
             for address in self._choose_addresses():
                 task = asyncio.ensure_future(self._exchange_with(address))
-                self._exchanges.add(task)
-                task.add_done_callback(self._exchanges.discard)
+                self._exchange_tasks.add(task)
+                task.add_done_callback(self._exchange_tasks.discard)
             self._exchange.drop_unresponsive_peers()
             await asyncio.sleep(self._settings.exchange_interval_ms / 1000)
 
     def _choose_addresses(self) -> list[str]:
-        """Return the peers of this round.
+        """Return the addresses of the peers for this round of exchanges.
 
-        Each peer gets its turn before any gets a second one; a random choice would
-        leave some unheard for longer than the freshness bound.
+        Peers are chosen round-robin, in a new random order each time. An independent
+        random choice per round would leave some peers without an exchange for longer
+        than the key freshness limit.
         """
         addresses = {peer.peer_address for peer in self._exchange.peers()}
         fanout = self._settings.exchange_fanout
         if fanout and len(addresses) > fanout:
-            self._turns = [a for a in self._turns if a in addresses]
-            if len(self._turns) < fanout:
-                others = sorted(addresses - set(self._turns))
+            self._round_robin_addresses = [
+                address
+                for address in self._round_robin_addresses
+                if address in addresses
+            ]
+            if len(self._round_robin_addresses) < fanout:
+                others = sorted(addresses - set(self._round_robin_addresses))
                 self._random.shuffle(others)
-                self._turns += others
-            addresses, self._turns = set(self._turns[:fanout]), self._turns[fanout:]
-        return [a for a in sorted(addresses) if a not in self._busy_addresses]
+                self._round_robin_addresses += others
+            addresses, self._round_robin_addresses = (
+                set(self._round_robin_addresses[:fanout]),
+                self._round_robin_addresses[fanout:],
+            )
+        return [
+            address
+            for address in sorted(addresses)
+            if address not in self._busy_addresses
+        ]
 
     async def _exchange_with(self, address: str) -> None:
         self._busy_addresses.add(address)
@@ -339,14 +362,21 @@
                 self._exchange.adopt_fetched(fetched)
                 self._exchange.merge_state(state, sent_ms)
         except PeerUnreachableError as error:
-            _log.event("exchange failed", peer=address, cause=error.message)
+            _log.event("exchange with peer failed", peer=address, cause=error.message)
         except PeerError as error:
-            self._note_malformed("Exchange", error)
+            self._count_malformed("Exchange", error)
         except DecodeError:
-            error = PeerError("A peer sent no readable answer.", "Check its version.")
-            self._note_malformed("Exchange", error)
+            error = PeerError(
+                f"Peer {address} sent an answer that cannot be decoded.",
+                "Check the version of the peer.",
+            )
+            self._count_malformed("Exchange", error)
         except CALL_ERRORS as error:
-            _log.event("exchange failed", peer=address, cause=type(error).__name__)
+            _log.event(
+                "exchange with peer failed; closing connections",
+                peer=address,
+                cause=type(error).__name__,
+            )
             self._close_channel(address, self._exchange_channels)
             self._retire_forward_channel(address)
         finally:
@@ -376,10 +406,13 @@
             channel.close()
 
     def _retire_forward_channel(self, address: str) -> None:
-        """Use a new connection for further requests; running ones may finish."""
+        """Use a new connection for further requests.
+
+        The old one is closed later, so that requests on it may finish.
+        """
         channel = self._forward_channels.pop(address, None)
         if channel is not None:
-            self._loop.call_later(RETIRED_CHANNEL_MS / 1000, channel.close)
+            self._loop.call_later(RETIRED_CHANNEL_LIFETIME_MS / 1000, channel.close)
 
     async def _forward(
         self, address: str, message: peer_pb2.ForwardRequest, timeout_ms: int
@@ -403,7 +436,7 @@
             reply = await stub.HandOver(message, timeout=CALL_TIMEOUT_MS / 1000)
         except CALL_ERRORS as error:
             raise PeerError(
-                f"Peer {address} did not accept the hand-over: {type(error).__name__}.",
-                "Its tickets answer 'unknown'.",
+                f"Peer {address} did not accept the handover: {type(error).__name__}.",
+                "Check the peer; tickets of this process may answer 'unknown'.",
             ) from None
         return reply.accepted
