--- a/tests/dispatcher_fakes.py
+++ b/tests/dispatcher_fakes.py
@@ -1,4 +1,4 @@
-"""A dispatcher with a manual clock and with lists in place of other tasks."""
+"""A dispatcher with a manual clock, and lists in place of the other tasks."""
 
 import random
 from concurrent.futures import Future
@@ -79,8 +79,8 @@
     return EntrySettings(**{**fields, **changes})
 
 
-class DispatcherBench:
-    """Drives one dispatcher by hand; starts with two units of team ``red``."""
+class DispatcherHarness:
+    """Runs one dispatcher step by step; by default with two units of team ``red``."""
 
     def __init__(self, long_units=2, short_units=0):
         self.clock = ManualClock(1_000_000)
@@ -127,14 +127,17 @@
         self.dispatcher.run_once()
 
     def advance(self, duration_ms):
-        """Move the clock in steps; keep keys fresh, units held, tokens given."""
+        """Advance the clock in steps of 100 ms.
+
+        Each step renews the freshness proof and the quota lease and grants tokens.
+        """
         for _ in range(0, duration_ms, 100):
             self.clock.advance(100)
             now_ms = self.clock.now_ms()
             self.post(
                 messages.FreshnessProven(now_ms), messages.QuotaLeaseRenewed(now_ms)
             )
-            self.give_tokens()
+            self.grant_tokens()
 
     def submit(self, request_id, queue="lookups", ticket="", key=None, **changes):
         future = Future()
@@ -150,7 +153,7 @@
             **changes,
         )
         self.post(messages.SubmitRequest(incoming, future))
-        self.give_tokens()
+        self.grant_tokens()
         return future
 
     def ticket(self, queue="payments"):
@@ -158,21 +161,21 @@
         self.post(messages.IssueTickets(f"Bearer {self.key}", queue, 1, tickets))
         return tickets.result(0)[0]
 
-    def take(self, kind):
+    def take_sent(self, kind):
         found = [message for message in self.sent if isinstance(message, kind)]
         for message in found:
             self.sent.remove(message)
         return found
 
-    def give_tokens(self):
-        for fetch in self.take(FetchToken):
+    def grant_tokens(self):
+        for fetch in self.take_sent(FetchToken):
             now_ms = self.clock.now_ms()
             self.post(TokenFetched(worker=fetch.worker, token="t", asked_ms=now_ms))
 
-    def starts(self):
-        return self.take(StartAttempt)
+    def take_starts(self):
+        return self.take_sent(StartAttempt)
 
-    def end(self, start, end=AttemptEnd.RAN, kind="", body=b"done"):
+    def finish_attempt(self, start, end=AttemptEnd.RAN, kind="", body=b"done"):
         self.post(
             AttemptFinished(
                 task_id=start.task_id,
@@ -184,4 +187,4 @@
                 asked_ms=self.clock.now_ms(),
             )
         )
-        self.give_tokens()
+        self.grant_tokens()
