--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -35,11 +35,11 @@
 )
 
 
-def answer(body=b"done"):
+def make_answer(body=b"done"):
     return Answer(request_id="r1", outcome=Outcome.OK, status=200, body=body)
 
 
-def free_ports(count):
+def find_free_ports(count):
     sockets = [socket.socket() for _ in range(count)]
     for one in sockets:
         one.bind(("127.0.0.1", 0))
@@ -49,15 +49,19 @@
     return ports
 
 
-class Blob:
-    """A message that no protobuf parser reads."""
+class UndecodableMessage:
+    """A message that protobuf cannot decode."""
 
     def SerializeToString(self):
         return b"\xff\xff\xff"
 
 
 class Peer:
-    """A service whose dispatcher keeps messages and answers by a function."""
+    """A peer service with a recording dispatcher.
+
+    :param number: number of the entry, for its name.
+    :param submit: answers the requests that are forwarded to it.
+    """
 
     def __init__(self, number, port, submit):
         self.settings = settings = EntrySettings(
@@ -73,7 +77,7 @@
         self.reports, self.reported = [], threading.Event()
         self.export = None
         self.exchange = PeerExchange(
-            settings, Clock(), f"z1.e{number}.a", self.dispatch
+            settings, Clock(), f"z1.e{number}.a", self.record_report
         )
         self.service = PeerService(
             settings,
@@ -84,7 +88,7 @@
         )
         self.address = self.exchange.registration.peer_address
 
-    def dispatch(self, message):
+    def record_report(self, message):
         if isinstance(message, PeerReport) and message.in_flight_by_worker:
             self.reports.append(message)
             self.reported.set()
@@ -96,7 +100,7 @@
         self.submitted, self.arrived = [], threading.Event()
         self.future = concurrent.futures.Future()
         self.peers = [
-            Peer(n, port, self.submit) for n, port in enumerate(free_ports(2))
+            Peer(n, port, self.submit) for n, port in enumerate(find_free_ports(2))
         ]
         for peer in self.peers:
             peer.service.start()
@@ -112,7 +116,7 @@
         return self.a.service.forward(self.b.address, INCOMING, 5_000)
 
     def test_load_is_exchanged_in_both_directions(self):
-        """An entry that only one side knows must still be heard by both."""
+        """Two entries must exchange loads even if only one knows the other."""
         for peer in self.peers:
             peer.service.report_load(LoadReport((), {"w": 1}, (), False))
         roster = [
@@ -124,15 +128,15 @@
             self.assertTrue(peer.reported.wait(WAIT_S))
         self.assertEqual(self.b.exchange.process_id, self.a.reports[0].process_id)
 
-    def test_forwarded_request_arrives_whole(self):
+    def test_forwarded_request_arrives_unchanged(self):
         """A lost header or byte would change the request."""
-        self.future.set_result(answer(b"\x00answer"))
-        self.assertEqual(answer(b"\x00answer"), self.forward().result(WAIT_S))
+        self.future.set_result(make_answer(b"\x00answer"))
+        self.assertEqual(make_answer(b"\x00answer"), self.forward().result(WAIT_S))
         expected = dataclasses.replace(INCOMING, forwarded=True)
         self.assertEqual([expected], self.submitted)
 
-    def test_refusal_of_a_forwarded_request_stays_a_refusal(self):
-        """A refusal that arrives as unknown would stop a safe retry."""
+    def test_refusal_of_a_forwarded_request_is_returned(self):
+        """A refusal that arrives as an unknown outcome would prevent a safe retry."""
         self.future.set_exception(OverloadedError("full", "wait", 7))
         refused = self.forward().result(WAIT_S)
         self.assertEqual(
@@ -140,7 +144,7 @@
             (refused.outcome, refused.status, refused.kind, refused.retry_after_s),
         )
 
-    def test_failure_after_sending_is_an_unknown_outcome(self):
+    def test_failure_after_sending_has_an_unknown_outcome(self):
         """The peer may have started the request."""
         pending = self.forward()
         self.future.set_running_or_notify_cancel()
@@ -148,18 +152,18 @@
         self.b.service.stop()
         error = pending.exception(WAIT_S)
         self.assertIsInstance(error, UnknownOutcomeError)
-        self.future.set_result(answer())
+        self.future.set_result(make_answer())
 
     def test_request_to_a_closed_port_was_not_sent(self):
-        """It may be retried elsewhere, also when it is not idempotent."""
+        """Such a request may be retried elsewhere, even if it is not idempotent."""
         self.b.service.stop()
         error = self.forward().exception(WAIT_S)
         self.assertIsInstance(error, PeerUnreachableError)
 
-    def test_hand_over(self):
-        """Results and marks of a process that stops must survive it."""
+    def test_handover_transfers_results_and_revocations(self):
+        """Ticket results and revocations must not be lost when a process stops."""
         self.a.exchange.add_tombstone("k1")
-        export = TicketExport(forgotten_ms=7, results=(("ticket", answer()),))
+        export = TicketExport(forgotten_ms=7, results=(("ticket", make_answer()),))
         count = self.a.service.hand_over(self.b.address, "z1.e9.x", export).result(
             WAIT_S
         )
@@ -167,30 +171,33 @@
         self.assertEqual(export, self.b.export)
         self.assertEqual({"k1"}, self.b.exchange.list_unwritten_tombstones())
 
-    def test_malformed_answer_is_refused_and_counted(self):
-        """A wrong outcome must not be passed on to a caller."""
-        bad = dataclasses.replace(answer(), outcome="odd")
-        export = TicketExport(forgotten_ms=7, results=(("ticket", bad),))
-        handed = self.a.service.hand_over(self.b.address, "z1.e9.x", export)
-        self.assertIsInstance(handed.exception(WAIT_S), PeerError)
+    def test_malformed_answer_is_rejected_and_counted(self):
+        """A malformed outcome must not reach a caller."""
+        malformed = dataclasses.replace(make_answer(), outcome="odd")
+        export = TicketExport(forgotten_ms=7, results=(("ticket", malformed),))
+        handover = self.a.service.hand_over(self.b.address, "z1.e9.x", export)
+        self.assertIsInstance(handover.exception(WAIT_S), PeerError)
         self.assertEqual(1, self.b.service.malformed_count)
 
-    def test_unreadable_message_is_refused_and_counted(self):
-        """Any program can connect to the port."""
+    def test_undecodable_message_is_rejected_and_counted(self):
+        """Any program can connect to the port and send anything."""
 
         async def call():
             host, port = self.b.address.split(":")
             async with grpclib.client.Channel(host, int(port)) as channel:
                 method = grpclib.client.UnaryUnaryMethod(
-                    channel, "/cranberrywheel.peer.Peer/Exchange", Blob, PeerState
+                    channel,
+                    "/cranberrywheel.peer.Peer/Exchange",
+                    UndecodableMessage,
+                    PeerState,
                 )
-                await method(Blob())
+                await method(UndecodableMessage())
 
         error = self.assertRaises(grpclib.GRPCError, asyncio.run, call())
         self.assertIs(grpclib.Status.INVALID_ARGUMENT, error.status)
         self.assertEqual(1, self.b.service.malformed_count)
 
-    def test_port_in_use_is_reported_at_start(self):
+    def test_port_in_use_fails_the_start(self):
         """A process that does not own its port must not register."""
         port = int(self.a.address.rpartition(":")[2])
         second = Peer(0, port, self.submit)
--- a/tests/test_quota_manager.py
+++ b/tests/test_quota_manager.py
@@ -11,16 +11,16 @@
 LIMIT = 12
 
 
-class UnitKeeperTest(testtools.TestCase):
-    def group(self, count=3, limits=None):
+class QuotaManagerTest(testtools.TestCase):
+    def build_group(self, count=3, limits=None):
         group = build_entry_group(count, limits)
         group.entries[0].apply(TEXT, 0).result(0)
         group.run(8_000)
         return group
 
     def test_units_spread_over_entries_and_follow_demand(self):
-        """A burst lasts some seconds; units that follow later are of no use."""
-        group = self.group()
+        """A burst lasts some seconds; units transferred later are of no use."""
+        group = self.build_group()
         self.assertEqual([4, 4, 4], [e.usable("t") for e in group.entries])
         group.entries[0].waiting_by_team = {"t": 10}
         group.run(5_000)
@@ -30,17 +30,17 @@
         group.run(10_000)
         self.assertEqual([4, 4, 4], [e.usable("t") for e in group.entries])
 
-    def test_units_that_do_not_divide_are_held_too(self):
-        """Units left free cannot be used during an outage."""
-        group = self.group(5)
+    def test_remainder_of_the_division_is_held_too(self):
+        """Units that no entry holds cannot be used during a store outage."""
+        group = self.build_group(5)
         text = TEXT.replace("limit = 12", "limit = 14")
         group.entries[0].apply(text, 1).result(0)
         group.run(8_000)
         self.assertEqual(14, group.usable_total("t"))
 
-    def test_store_outage(self):
-        """All units stay for 60 s and the long part for an hour."""
-        group = self.group()
+    def test_units_last_for_their_leases_during_a_store_outage(self):
+        """All units must last for 60 s, and those on long leases for an hour."""
+        group = self.build_group()
         group.set_down(True)
         usable = {}
         for at_s in (29, 3_600, 3_960):
@@ -51,39 +51,39 @@
         group.run(8_000)
         self.assertEqual(LIMIT, group.usable_total("t"))
 
-    def test_lost_answers_while_units_move(self):
-        """Neither side may use a unit whose transfer is not confirmed."""
-        group = self.group()
+    def test_lost_store_responses_during_transfers_do_not_duplicate_units(self):
+        """Neither entry may use a unit whose transfer is not confirmed."""
+        group = self.build_group()
         a, b, _ = group.entries
         a.waiting_by_team = {"t": 12}
         for round_number in range(60):
             giver = group.entries[1 + round_number % 2]
             giver.clients[0].lose = a.clients[0].lose = 1
-            group.run(500, check=lambda: self.check_sums(group))
+            group.run(500, check=lambda: self.assert_limit_holds(group))
         self.assertEqual(10, len(a.tasks))
 
-    def check_sums(self, group):
+    def assert_limit_holds(self, group):
         self.assertLessEqual(group.held_total("t"), LIMIT)
         self.assertLessEqual(group.usable_total("t"), LIMIT)
         self.assertLessEqual(group.running_total(), LIMIT)
 
-    def test_delayed_write_does_not_take_units_twice(self):
-        """The write that gives units away may arrive after it was read back."""
-        group = self.group(2)
+    def test_delayed_write_does_not_duplicate_units(self):
+        """The write that transfers units may arrive after the record was read back."""
+        group = self.build_group(2)
         a, b = group.entries
         b.clients[0].delay_writes = True
         a.waiting_by_team = {"t": 12}
-        group.run(6_000, check=lambda: self.check_sums(group))
+        group.run(6_000, check=lambda: self.assert_limit_holds(group))
         b.clients[0].delay_writes = False
         b.waiting_by_team = {"t": 12}
         for send in b.clients[0].delayed:
             send()
-            group.run(3_000, check=lambda: self.check_sums(group))
+            group.run(3_000, check=lambda: self.assert_limit_holds(group))
         self.assertEqual(LIMIT, group.running_total())
 
     def test_old_list_does_not_undo_a_write(self):
-        """The list is read on another connection and may be older."""
-        group = self.group(2)
+        """The list is read on another connection and may be older than the write."""
+        group = self.build_group(2)
         a, b = group.entries
         old = a.clients[1].list("limits/")
         b.waiting_by_team = {"t": 9}
@@ -92,9 +92,9 @@
         a.session._units.update_from_list(old, [], group.clock.now_ms())
         self.assertEqual(3, a.usable("t"))
 
-    def test_reclaim_checked_against_a_registration_that_came_back(self):
-        """Between registering and rewriting its records a holder uses units."""
-        group = self.group(2)
+    def test_reclaim_is_not_written_after_the_holder_registered_again(self):
+        """A holder may use units between registering and changing its records."""
+        group = self.build_group(2)
         a, b = group.entries
         b.paused = True
         group.run(90_000)
@@ -102,31 +102,31 @@
         a.set_down(True)
         group.run(15_000)
         b.paused = False
-        b.clients[0].put = self.register_only(b.clients[0])
+        b.clients[0].put = self.put_registration_only(b.clients[0])
         b.step()
         a.set_down(False)
         group.run(4_000)
         self.assertEqual((3, 3), group.rows("t")[b.process_id])
 
     @staticmethod
-    def register_only(client):
+    def put_registration_only(client):
         put = client.put
 
-        def limited(key, *args):
+        def put_until_other_key(key, *args):
             if not key.startswith("entries/"):
                 client.down = True
             return put(key, *args)
 
-        return limited
+        return put_until_other_key
 
-    def test_reclaim_prepared_before_the_holder_came_back_fails(self):
-        """The holder rewrites its records before it uses units again."""
-        group = self.group(2)
+    def test_reclaim_prepared_before_the_holder_registered_again_fails(self):
+        """The holder changes its records before it uses units again."""
+        group = self.build_group(2)
         a, b = group.entries
         put = a.clients[0].put
         b.paused = True
 
-        def put_late(key, *args):
+        def put_after_registration(key, *args):
             if key == "limits/t" and b.paused:
                 b.paused = False
                 b.session._keep_lease(group.clock.now_ms())
@@ -137,15 +137,17 @@
                 self.assertLessEqual(b.usable("t"), held)
 
         group.run(90_000)
-        a.clients[0].put = put_late
-        group.run(15_000, check=lambda: self.check_sums(group))
+        a.clients[0].put = put_after_registration
+        group.run(15_000, check=lambda: self.assert_limit_holds(group))
         self.assertFalse(b.paused)
         self.assertEqual(6, b.usable("t"))
         self.assertEqual((3, 3), group.rows("t")[b.process_id])
 
-    def test_failed_entry_withholds_its_long_part(self):
-        """Units must come back, but not before their holds end."""
-        group = self.group(3, LimitSettings(short_hold_ms=90_000, long_hold_ms=200_000))
+    def test_long_units_of_a_failed_entry_are_reclaimed_after_their_lease(self):
+        """Units must become free again, but not before their leases expire."""
+        group = self.build_group(
+            3, LimitSettings(short_hold_ms=90_000, long_hold_ms=200_000)
+        )
         group.entries[2].paused = True
         group.run(110_000)
         self.assertEqual((2, 0), group.rows("t")[group.entries[2].process_id])
@@ -154,15 +156,15 @@
         self.assertEqual(12, sum(e.usable("t") for e in group.entries[:2]))
 
     def test_replacement_on_the_same_address_frees_the_units(self):
-        """Ordinary restarts must not withhold units for an hour."""
-        group = self.group(3)
+        """An ordinary restart must not make units unusable for an hour."""
+        group = self.build_group(3)
         group.replace(2, "b")
-        group.run(20_000, check=lambda: self.check_sums(group))
+        group.run(20_000, check=lambda: self.assert_limit_holds(group))
         self.assertEqual([4, 4, 4], [e.usable("t") for e in group.entries])
 
-    def test_lowered_limit(self):
-        """New starts must follow at once and the record as requests end."""
-        group = self.group()
+    def test_lowered_limit_is_met_as_requests_end(self):
+        """New requests must meet the limit at once, and the record as requests end."""
+        group = self.build_group()
         a, b, c = group.entries
         a.waiting_by_team = {"t": 4}
         b.waiting_by_team = {"t": 4}
@@ -183,32 +185,32 @@
 
     def test_count_of_a_record_with_the_old_limit_is_not_used(self):
         """Another entry may write the record before it knows the new limit."""
-        group = self.group()
+        group = self.build_group()
         a, b, c = group.entries
         c.paused = b.cut_off = True
         b.session.reader.step = lambda: None
         put = a.clients[0].put
 
-        def put_configuration_only(key, *args):
+        def delay_limit_writes(key, *args):
             a.clients[0].delay_writes = key.startswith("limits/")
             return put(key, *args)
 
-        a.clients[0].put = put_configuration_only
+        a.clients[0].put = delay_limit_writes
         a.apply(TEXT.replace("limit = 12", "limit = 6"), 1).result(0)
         set_held, usable = a.ledger.set_held, [a.usable("t")]
 
-        def set_held_and_note(*args):
+        def set_held_and_record(*args):
             set_held(*args)
             usable.append(a.usable("t"))
 
-        a.ledger.set_held = set_held_and_note
+        a.ledger.set_held = set_held_and_record
         b.waiting_by_team = {"t": 9}
         group.run(5_000)
         self.assertEqual(2, max(usable))
 
     def test_stop_returns_units_and_the_registration(self):
-        """A planned stop must not withhold units."""
-        group = self.group()
+        """A graceful stop must not make units unusable."""
+        group = self.build_group()
         a = group.entries[0]
         stopped = a.ask(lambda future: None)
         a.session.stop(Stop(stopped))
@@ -219,9 +221,9 @@
         group.run(8_000)
         self.assertEqual([6, 6], [e.usable("t") for e in group.entries])
 
-    def test_malformed_record_stops_only_its_team(self):
-        """Other teams and the lease must go on."""
-        group = self.group()
+    def test_malformed_record_affects_only_its_team(self):
+        """Other teams must still get units, and the lease must still be renewed."""
+        group = self.build_group()
         revision = group.platform.get("limits/t").revision
         group.platform.put("limits/t", "{}", revision, "")
         group.run(40_000)
@@ -231,11 +233,11 @@
 
 
 class FaultHistoryTest(testtools.TestCase):
-    """Random pauses, failures, outages and lost or delayed writes."""
+    """Random pauses, replacements, outages and lost or delayed writes."""
 
     STEPS = 500
 
-    def repair(self, entry):
+    def repair_entry(self, entry):
         entry.set_down(False)
         entry.paused = entry.cut_off = entry.clients[0].delay_writes = False
         delayed, entry.clients[0].delayed = entry.clients[0].delayed, []
@@ -243,7 +245,7 @@
         for send in delayed:
             send()
 
-    def inject(self, second):
+    def inject_fault(self, second):
         rng = self.rng
         entry = rng.choice(self.group.entries)
         fault = rng.choices(
@@ -261,12 +263,12 @@
         if fault:
             duration_s = rng.choice([3, 30, 105, 130, 300])
             self.repairs.append((second + duration_s, entry))
-        for at, damaged in list(self.repairs):
+        for at, faulty_entry in list(self.repairs):
             if at <= second:
-                self.repairs.remove((at, damaged))
-                self.repair(damaged)
+                self.repairs.remove((at, faulty_entry))
+                self.repair_entry(faulty_entry)
 
-    def check_history(self, seed):
+    def run_history(self, seed):
         print("seed", seed)
         self.rng, self.repairs = random.Random(seed), []
         self.group = build_entry_group(
@@ -277,7 +279,7 @@
         end_chance = self.rng.choice([0.01, 0.1])
         running = 0
         for second in range(self.STEPS):
-            self.inject(second)
+            self.inject_fault(second)
             for entry in self.group.entries:
                 waiting = entry.waiting_by_team.get("t", 0)
                 waiting = max(waiting, self.rng.choice([0, 0, 0, 8]))
@@ -292,9 +294,9 @@
         for entry in self.group.entries:
             versions = entry.versions
             self.assertEqual(sorted(versions), versions)
-        # Otherwise the history would prove nothing.
+        # With few running requests, the limit could not be exceeded anyway.
         self.assertGreater(running / self.STEPS, LIMIT / 3)
 
-    def test_histories(self):
+    def test_limit_holds_in_random_fault_histories(self):
         for seed in range(1, 5):
-            self.check_history(seed)
+            self.run_history(seed)
--- a/tests/test_quota_units.py
+++ b/tests/test_quota_units.py
@@ -13,7 +13,7 @@
 COUNTS = st.integers(0, 12)
 
 
-def row(long_units=0, short_units=0, **fields):
+def make_row(long_units=0, short_units=0, **fields):
     return HolderRow(
         long=long_units,
         short=short_units,
@@ -25,15 +25,15 @@
     )
 
 
-class UnitLedgerTest(testtools.TestCase):
+class QuotaLedgerTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.ledger = QuotaLedger(SETTINGS)
         self.ledger.set_limit("t", 10)
         self.ledger.set_held("t", 2, 3)
 
-    def test_hold_times(self):
-        """Units must expire by the own clock although nobody says so."""
+    def test_units_expire_with_their_leases(self):
+        """Units must expire by the local clock, without any message."""
         self.assertEqual(0, self.ledger.usable_units("t", 0))
         self.ledger.note_lease_renewal(1_000)
         self.ledger.note_lease_renewal(500)
@@ -44,8 +44,8 @@
         expected = {0: 5, 59_999: 5, 60_000: 2, 3_899_999: 2, 3_900_000: 0}
         self.assertEqual(expected, usable)
 
-    def test_running_requests_lose_short_units_first_started_last(self):
-        """Long units must carry requests through an outage."""
+    def test_latest_requests_lose_their_units_first(self):
+        """Units on long leases must keep requests running during a store outage."""
         self.ledger.note_lease_renewal(0)
         taken = [self.ledger.acquire_unit("t", f"r{n}", 0) for n in range(6)]
         self.assertEqual([True] * 5 + [False], taken)
@@ -60,8 +60,8 @@
         self.assertEqual([], renewable(3_900_000))
         self.assertFalse(self.ledger.has_valid_unit("unknown", 0))
 
-    def test_release_spares_units_in_use(self):
-        """A unit with a running request must not be given to another entry."""
+    def test_units_in_use_are_not_released(self):
+        """A unit with a running request must not be transferred to another entry."""
         self.ledger.note_lease_renewal(0)
         for n in range(3):
             self.ledger.acquire_unit("t", f"r{n}", 0)
@@ -69,8 +69,8 @@
         self.assertFalse(self.ledger.acquire_unit("t", "r3", 0))
         self.assertEqual({"t": 3}, self.ledger.in_use_by_team())
 
-    def test_lowered_limit_holds_for_new_starts_at_once(self):
-        """Other holders scale down too; waiting for the record would exceed."""
+    def test_lowered_limit_applies_to_new_requests_at_once(self):
+        """Until the record changes, new requests could exceed the limit."""
         self.ledger.note_lease_renewal(0)
         for n in range(4):
             self.ledger.acquire_unit("t", f"r{n}", 0)
@@ -82,7 +82,7 @@
         self.ledger.set_limit("t", 10)
         self.assertEqual(5, self.ledger.usable_units("t", 0))
         self.ledger.set_limit("t", 5)
-        # Without the expired short units; others may have reclaimed them.
+        # The short units have expired and may have been reclaimed by others.
         self.assertEqual(1, self.ledger.usable_units("t", 60_000))
 
 
@@ -95,9 +95,11 @@
         ),
         st.sampled_from([0, 0.3, 0.5, 1]),
     )
-    def test_rebalance_never_exceeds_and_lowers_only_the_writer(self, steps, fraction):
-        """Units of another holder may be in use until it releases them."""
-        holders = {h: row() for h in HOLDERS}
+    def test_rebalance_keeps_the_limit_and_lowers_only_the_writer(
+        self, steps, fraction
+    ):
+        """Units of another holder may be in use until that holder releases them."""
+        holders = {h: make_row() for h in HOLDERS}
         record = LimitRecord(limit=12, limit_version=1, holders=holders)
         for version, (holder, in_use, waiting, limit) in enumerate(steps, 2):
             before = record
@@ -117,8 +119,8 @@
             self.assertEqual(record, limit_record.parse(limit_record.dump(record)))
 
     def test_lowered_limit_is_met_by_all_holders_together(self):
-        """Rounding per holder must not exceed the limit or waste it."""
-        holders = {"a": row(3, 3), "b": row(2, 2), "c": row(1, 1)}
+        """Rounded targets must neither exceed the limit nor leave units unused."""
+        holders = {"a": make_row(3, 3), "b": make_row(2, 2), "c": make_row(1, 1)}
         record = LimitRecord(limit=12, limit_version=1, holders=holders)
         record = quota_units.set_limit(record, 5, 2)
         self.assertEqual(record, quota_units.set_limit(record, 12, 1))
@@ -126,34 +128,40 @@
             record = quota_units.rebalance(record, holder, UnitDemand(0, 9), 1, 0.5)
         self.assertEqual(5, record.total)
 
-    def test_lends_only_to_reachable_holders(self):
-        """Units lent to a holder that failed are lost for the long hold."""
-        holders = {"a": row(6, 6), "b": row(wanted=8), "c": row(wanted=8)}
+    def test_units_are_transferred_only_to_reachable_holders(self):
+        """Units of a failed holder are unusable until its long lease ends."""
+        holders = {
+            "a": make_row(6, 6),
+            "b": make_row(wanted=8),
+            "c": make_row(wanted=8),
+        }
         record = LimitRecord(limit=12, limit_version=1, holders=holders)
-        lent = quota_units.rebalance(record, "a", UnitDemand(2, 0), 4, 0.5, {"c"})
-        totals = [lent.holders[h].total for h in "abc"]
+        record_after = quota_units.rebalance(
+            record, "a", UnitDemand(2, 0), 4, 0.5, {"c"}
+        )
+        totals = [record_after.holders[h].total for h in "abc"]
         self.assertEqual([4, 0, 8], totals)
 
-    def reclaimed(self, missing_ms, replaced_ms, now_ms):
-        record = LimitRecord(limit=12, limit_version=1, holders={"a": row(2, 3)})
+    def free_units_after_reclaim(self, missing_ms, replaced_ms, now_ms):
+        record = LimitRecord(limit=12, limit_version=1, holders={"a": make_row(2, 3)})
         absence = Absence(missing_ms, replaced_ms)
         return quota_units.reclaim(record, "a", absence, now_ms, SETTINGS).free
 
-    def test_reclaim_waits_for_hold_token_and_task_lease(self):
+    def test_reclaim_waits_for_quota_lease_start_token_and_task_lease(self):
         """An earlier reclaim would let two entries use the same unit."""
         short_ms = 12_120 + 900
-        self.assertEqual(7, self.reclaimed(0, None, short_ms - 1))
-        self.assertEqual(10, self.reclaimed(0, None, short_ms))
+        self.assertEqual(7, self.free_units_after_reclaim(0, None, short_ms - 1))
+        self.assertEqual(10, self.free_units_after_reclaim(0, None, short_ms))
         long_ms = 3_912_000 * 101 // 100
-        self.assertEqual(10, self.reclaimed(0, None, long_ms - 1))
-        self.assertEqual(12, self.reclaimed(0, None, long_ms))
+        self.assertEqual(10, self.free_units_after_reclaim(0, None, long_ms - 1))
+        self.assertEqual(12, self.free_units_after_reclaim(0, None, long_ms))
 
-    def test_reclaim_of_a_replaced_holder(self):
-        """The replacement owns the port, so only running tasks are waited for."""
-        self.assertEqual(7, self.reclaimed(None, 0, 12_119))
-        self.assertEqual(12, self.reclaimed(None, 0, 12_120))
+    def test_reclaim_of_a_replaced_holder_waits_for_its_tasks_only(self):
+        """The old process has stopped, since its port is taken; its tasks may run."""
+        self.assertEqual(7, self.free_units_after_reclaim(None, 0, 12_119))
+        self.assertEqual(12, self.free_units_after_reclaim(None, 0, 12_120))
 
-    def test_malformed_record_is_refused(self):
-        """A guess at units could exceed a limit."""
+    def test_malformed_record_is_rejected(self):
+        """Units taken from a malformed record could exceed a limit."""
         for body in ({}, {"limit": -1, "limit_version": 1}, {"holders": {"a": {}}}):
             self.assertRaises(StoreError, limit_record.parse, body)
--- a/tests/test_worker_table.py
+++ b/tests/test_worker_table.py
@@ -16,10 +16,10 @@
     def setUp(self):
         super().setUp()
         self.clock = ManualClock()
-        self.table = self.table_of(rows(8))
+        self.table = self.build_table(rows(8))
         self.table.set_ejection_limit("p", 2)
 
-    def table_of(self, workers):
+    def build_table(self, workers):
         table = WorkerTable("z0", random.Random(SEED))
         table.set_workers(workers)
         return table
@@ -28,33 +28,37 @@
         chosen = self.table.choose("p", self.clock.now_ms(), excluded, **options)
         return chosen.name if chosen else None
 
-    def attempt(self, worker, verdict=OK, duration_ms=100, expected_ms=None):
+    def run_attempt(self, worker, verdict=OK, duration_ms=100, expected_ms=None):
         now_ms = self.clock.now_ms()
         self.table.started(worker, now_ms)
         self.table.finished(worker, verdict, duration_ms, now_ms, expected_ms)
 
-    def serve(self, count, outcome_of, interval_ms=10):
-        """Send requests one after the other; returns how many each worker got."""
+    def run_requests(self, count, result_of, interval_ms=10):
+        """Run requests one after the other.
+
+        :param result_of: returns verdict, duration and so on for a worker name.
+        :returns: number of requests by worker.
+        """
         counts = collections.Counter()
         for _ in range(count):
             self.clock.advance(interval_ms)
             worker = self.choose()
             counts[worker] += 1
-            self.attempt(worker, *outcome_of(worker))
+            self.run_attempt(worker, *result_of(worker))
         return counts
 
-    def fill(self, *workers):
+    def fill_workers(self, *workers):
         for worker in workers:
             for _ in range(8):
                 self.table.started(worker, self.clock.now_ms())
 
-    def test_own_zone_first_and_spill_over_when_it_is_full(self):
+    def test_own_zone_is_preferred_until_it_is_full(self):
         self.assertTrue({self.choose() for _ in range(50)} <= {"w0", "w2", "w4", "w6"})
-        self.fill("w0", "w2", "w4", "w6")
+        self.fill_workers("w0", "w2", "w4", "w6")
         self.assertTrue({self.choose() for _ in range(50)} <= {"w1", "w3", "w5", "w7"})
 
-    def test_full_pool_has_no_room(self):
-        self.fill(*(f"w{n}" for n in range(7)))
+    def test_full_pool_has_no_capacity(self):
+        self.fill_workers(*(f"w{n}" for n in range(7)))
         self.table.set_peer_load("peer", {"w7": 8})
         self.assertFalse(self.table.has_capacity("p", 0))
         self.assertIs(None, self.choose())
@@ -68,7 +72,7 @@
         self.table.set_workers(rows(10)[9:])
         self.assertIs(None, self.choose())
 
-    def test_leaving_or_not_serving_workers_get_no_work(self):
+    def test_leaving_or_not_serving_workers_get_no_requests(self):
         self.table.set_workers(rows(1) + rows(2, serving=False)[1:])
         self.assertEqual("w0", self.choose())
         self.table.set_leaving(["w0"])
@@ -90,37 +94,42 @@
         racks = [f"r{n}" for n in range(4)]
         self.assertNotEqual("w0", self.table.choose("p", 0, ["w0"], racks).name)
 
-    def test_fast_failing_worker_does_not_attract_work(self):
-        # With ejection off, only the load that its failures leave can hold it back.
+    def test_fast_failing_worker_does_not_attract_requests(self):
+        """Guards against a worker whose quick failures make it look idle.
+
+        With ejection disabled, only the penalties for its failures add to its load.
+        """
         self.table.set_ejection_limit("p", 0)
-        counts = self.serve(
+        counts = self.run_requests(
             2_000, lambda w: (FAILED, 1) if w == "w0" else (OK, 100), interval_ms=2
         )
         self.assertTrue(counts["w0"] < 2_000 / 4, counts)
 
-    def test_worker_that_fails_everything_is_ejected_and_probed(self):
-        counts = self.serve(500, lambda w: (FAILED, 1) if w == "w0" else (OK, 100))
+    def test_worker_that_always_fails_is_ejected_and_probed(self):
+        counts = self.run_requests(
+            500, lambda w: (FAILED, 1) if w == "w0" else (OK, 100)
+        )
         self.assertTrue(3 <= counts["w0"] <= 6, counts)
         self.assertEqual(["w0"], self.table.ejected("p"))
         self.clock.advance(60_000)
-        # A retry must not be spent on a probe.
+        # A retry must not be used as a probe.
         self.assertNotEqual("w0", self.choose("w2"))
-        # Nor a request that cannot be retried.
+        # A request that cannot be retried must not be used either.
         self.assertNotEqual("w0", self.choose(may_probe=False))
         self.assertEqual("w0", self.choose())
         self.table.started("w0", self.clock.now_ms())
-        # One probe at a time.
+        # There is at most one probe at a time.
         self.assertNotIn("w0", {self.choose() for _ in range(50)})
         self.table.finished("w0", OK, 100, self.clock.now_ms())
         self.assertEqual([], self.table.ejected("p"))
 
-    def eject_and_wait(self):
-        self.serve(500, lambda w: (FAILED, 1) if w == "w0" else (OK, 100))
+    def eject_w0_and_wait(self):
+        self.run_requests(500, lambda w: (FAILED, 1) if w == "w0" else (OK, 100))
         self.clock.advance(60_000)
 
-    def test_probe_that_cannot_be_started_is_not_offered_again_at_once(self):
-        # Guards against a dead worker whose token cannot be fetched for a probe.
-        self.eject_and_wait()
+    def test_probe_that_cannot_be_started_is_not_repeated_at_once(self):
+        """Guards against repeated probes of a dead worker that issues no token."""
+        self.eject_w0_and_wait()
         self.assertEqual("w0", self.choose())
         self.assertNotIn("w0", {self.choose() for _ in range(50)})
         self.clock.advance(2_000)
@@ -128,15 +137,15 @@
 
     def test_refused_or_cancelled_probe_is_not_repeated_at_once(self):
         for verdict in (AttemptVerdict.REFUSED, CANCELLED):
-            self.eject_and_wait()
-            self.attempt(self.choose(), verdict, 1)
+            self.eject_w0_and_wait()
+            self.run_attempt(self.choose(), verdict, 1)
             self.assertNotIn("w0", {self.choose() for _ in range(50)})
             self.assertEqual(["w0"], self.table.ejected("p"))
 
     def test_ejected_worker_that_could_not_be_probed_when_due_is_probed_later(self):
-        # Guards against a worker that drains during its backoff and never returns.
+        """Guards against a worker that drains during its backoff and stays ejected."""
         for wait_ms in (0, 60_000):
-            self.eject_and_wait()
+            self.eject_w0_and_wait()
             self.assertTrue(self.table.has_capacity("p", self.clock.now_ms()))
             self.table.set_leaving(["w0"])
             self.clock.advance(wait_ms)
@@ -144,10 +153,12 @@
             self.table.set_leaving([])
             self.clock.advance(2_000)
             self.assertEqual("w0", self.choose())
-            self.attempt("w0")
+            self.run_attempt("w0")
 
-    def test_probes_of_a_dead_worker_become_rare(self):
-        counts = self.serve(60_000, lambda w: (FAILED, 1) if w == "w0" else (OK, 100))
+    def test_probes_of_a_dead_worker_back_off(self):
+        counts = self.run_requests(
+            60_000, lambda w: (FAILED, 1) if w == "w0" else (OK, 100)
+        )
         self.assertTrue(counts["w0"] < 25, counts)
 
     def test_ejection_never_exceeds_the_limit(self):
@@ -155,67 +166,67 @@
         for _ in range(500):
             self.clock.advance(10)
             if worker := self.choose():
-                self.attempt(worker, FAILED if worker in bad else OK)
+                self.run_attempt(worker, FAILED if worker in bad else OK)
             self.assertTrue(len(self.table.ejected("p")) <= 2)
         self.assertEqual(2, len(self.table.ejected("p")))
         self.table.set_ejection_limit("p", 1)
         self.assertEqual(1, len(self.table.ejected("p")))
 
     def test_no_worker_is_ejected_when_all_fail_alike(self):
-        # A failed dependency is not the workers' fault.
-        self.serve(500, lambda _w: (FAILED, 100), interval_ms=100)
+        """Guards against ejections because a dependency of all workers failed."""
+        self.run_requests(500, lambda _w: (FAILED, 100), interval_ms=100)
         self.assertEqual([], self.table.ejected("p"))
 
     def test_slow_worker_is_ejected_and_stays_out_while_slow(self):
-        self.serve(400, lambda w: (OK, 1_000 if w == "w0" else 100))
+        self.run_requests(400, lambda w: (OK, 1_000 if w == "w0" else 100))
         self.assertEqual(["w0"], self.table.ejected("p"))
         self.clock.advance(10_000)
-        self.attempt(self.choose(), OK, 1_000)
+        self.run_attempt(self.choose(), OK, 1_000)
         self.assertEqual(["w0"], self.table.ejected("p"))
         self.clock.advance(10_000)
-        self.attempt(self.choose(), OK, 100)
+        self.run_attempt(self.choose(), OK, 100)
         self.assertEqual([], self.table.ejected("p"))
 
-    def test_slow_worker_is_found_when_callers_cancel_all_its_requests(self):
-        self.serve(400, lambda w: (CANCELLED, 2_000) if w == "w0" else (OK, 100))
+    def test_slow_worker_is_ejected_when_callers_cancel_all_its_requests(self):
+        self.run_requests(400, lambda w: (CANCELLED, 2_000) if w == "w0" else (OK, 100))
         self.assertEqual(["w0"], self.table.ejected("p"))
 
-    def test_cancelled_short_runs_eject_nobody(self):
-        self.serve(1_000, lambda w: (CANCELLED, 5) if w == "w0" else (OK, 100))
+    def test_short_cancelled_runs_eject_no_worker(self):
+        self.run_requests(1_000, lambda w: (CANCELLED, 5) if w == "w0" else (OK, 100))
         self.assertEqual([], self.table.ejected("p"))
 
     def test_mixed_run_times_do_not_make_a_worker_look_slow(self):
         rng = random.Random(SEED)
-        self.serve(3_000, lambda _w: (OK, round(10 ** rng.uniform(1, 4))))
+        self.run_requests(3_000, lambda _w: (OK, round(10 ** rng.uniform(1, 4))))
         self.assertEqual([], self.table.ejected("p"))
 
-    def test_workers_are_excused_when_the_request_was_the_cause(self):
-        # One team's broken request fails on three workers, over and over.
+    def test_failures_caused_by_a_request_do_not_eject_workers(self):
+        """Guards against ejections because one faulty request fails on each worker."""
         for _ in range(20):
             self.clock.advance(100)
             for worker in ("w0", "w1", "w2"):
-                self.attempt(worker, FAILED)
+                self.run_attempt(worker, FAILED)
             self.table.retract_failures(["w0", "w1", "w2"], self.clock.now_ms())
             self.assertEqual([], self.table.ejected("p"))
 
-    def test_excuse_reinstates_an_ejected_worker(self):
+    def test_retracting_a_failure_reinstates_an_ejected_worker(self):
         for worker in ["w0"] * 3 + ["w1", "w2"]:
-            self.attempt(worker, FAILED)
+            self.run_attempt(worker, FAILED)
         self.assertEqual(["w0"], self.table.ejected("p"))
         self.table.retract_failures(["w0", "w1", "w2"], 0)
         self.assertEqual([], self.table.ejected("p"))
 
-    def test_rebooted_worker_loses_its_health_record(self):
-        self.serve(500, lambda w: (FAILED, 1) if w == "w0" else (OK, 100))
+    def test_worker_with_a_new_address_loses_its_health_statistics(self):
+        self.run_requests(500, lambda w: (FAILED, 1) if w == "w0" else (OK, 100))
         moved = [dataclasses.replace(row, address="127.0.0.9:1") for row in rows(8)]
         self.table.set_workers(moved)
         self.assertEqual([], self.table.ejected("p"))
 
-    def test_refused_start_is_no_failure(self):
-        self.serve(500, lambda _w: (AttemptVerdict.REFUSED, 1), interval_ms=50)
+    def test_refused_starts_do_not_count_as_failures(self):
+        self.run_requests(500, lambda _w: (AttemptVerdict.REFUSED, 1), interval_ms=50)
         self.assertEqual([], self.table.ejected("p"))
 
-    def test_old_token_is_not_used(self):
+    def test_outdated_token_is_not_used(self):
         self.table.set_token("w0", "new", 1_000)
         self.table.set_token("w0", "old", 900)
         self.assertEqual("new", self.table.token("w0", 2_000))
@@ -223,9 +234,12 @@
         self.assertIs(None, self.table.token("w0", 2_900))
         self.assertIs(None, self.table.token("w1", 0))
 
-    def test_worker_with_all_the_long_requests_is_not_slow(self):
-        # Two queues share the pool; their run times differ 100 times.
+    def test_worker_with_all_the_long_requests_is_not_ejected_as_slow(self):
+        """Guards against comparing run times of different queues of a pool.
+
+        Two queues share the pool, and their run times differ by a factor of 100.
+        """
         short, long = (OK, 100, 100), (OK, 10_000, 10_000)
-        self.serve(100, lambda _w: short)
-        self.serve(300, lambda w: long if w == "w0" else short)
+        self.run_requests(100, lambda _w: short)
+        self.run_requests(300, lambda w: long if w == "w0" else short)
         self.assertEqual([], self.table.ejected("p"))
