--- a/src/cranberrywheel/process/attempt_manager.py
+++ b/src/cranberrywheel/process/attempt_manager.py
@@ -73,7 +73,7 @@
         """Return an attempt that has not ended, or ``None``."""
         return self._attempts_by_task.get(task_id)
 
-    def running(self) -> list[Attempt]:
+    def list_running(self) -> list[Attempt]:
         """Return all attempts that have not ended."""
         return list(self._attempts_by_task.values())
 
@@ -109,7 +109,7 @@
             checkpoint=checkpoint,
         )
         self._attempts_by_task[task_id] = attempt
-        self._workers.started(worker.name, now_ms)
+        self._workers.record_start(worker.name, now_ms)
         if not self._send(attempt):
             self._fetch_token(attempt)
         return task_id
@@ -128,7 +128,7 @@
         :returns: false if a token must be fetched first.
         """
         now_ms = self._clock.now_ms()
-        token = self._workers.token(attempt.worker.name, now_ms)
+        token = self._workers.get_token(attempt.worker.name, now_ms)
         if token is None:
             return False
         request = attempt.request
@@ -360,7 +360,7 @@
                 self._send_control(attempt, "checkpoint")
             self.stop(attempt.task_id)
             return
-        token = self._workers.token(attempt.worker.name, now_ms)
+        token = self._workers.get_token(attempt.worker.name, now_ms)
         if token is None:
             self._post(
                 FetchToken(worker=attempt.worker.name, address=attempt.worker.address)
@@ -382,7 +382,7 @@
         now_ms = self._clock.now_ms()
         self._attempts_by_task.pop(attempt.task_id, None)
         duration_ms = now_ms - (attempt.sent_ms or now_ms)
-        self._workers.finished(
+        self._workers.record_end(
             attempt.worker.name, verdict, duration_ms, now_ms, attempt.expected_ms
         )
         if attempt.request.team:
--- a/src/cranberrywheel/process/dispatcher.py
+++ b/src/cranberrywheel/process/dispatcher.py
@@ -95,7 +95,7 @@
 
     def _run(self) -> None:
         while self._running:
-            self.run_once(self._state.timers.wait_ms(self._now_ms(), TICK_MS))
+            self.run_once(self._state.timers.get_wait_ms(self._now_ms(), TICK_MS))
 
     def run_once(self, wait_ms: int = 0) -> None:
         """Handle waiting messages, run due timers and start queued requests.
@@ -197,7 +197,9 @@
         assert self._state.snapshot is not None
         pools = self._state.snapshot.configuration.pools_by_name
         ejected = {
-            worker for pool in pools for worker in self._state.workers.ejected(pool)
+            worker
+            for pool in pools
+            for worker in self._state.workers.list_ejected(pool)
         }
         for worker in sorted(ejected - self._ejected_workers):
             _log.event("ejected unhealthy worker", worker=worker)
--- a/src/cranberrywheel/process/long_waits.py
+++ b/src/cranberrywheel/process/long_waits.py
@@ -44,7 +44,7 @@
             continue
         running = [
             _to_running_task(attempt)
-            for attempt in attempt_manager.running()
+            for attempt in attempt_manager.list_running()
             if attempt.worker.pool == pool and attempt.state is AttemptState.RUNNING
         ]
         for task_id in choose_displaced(running, waiting, now_ms):
--- a/src/cranberrywheel/process/quota_manager.py
+++ b/src/cranberrywheel/process/quota_manager.py
@@ -219,7 +219,7 @@
             address=self._registration.peer_address,
         )
 
-    def step(self, snapshot: ConfigurationSnapshot, now_ms: int) -> None:
+    def update_units(self, snapshot: ConfigurationSnapshot, now_ms: int) -> None:
         """Adapt the units of every team and reclaim those of missing holders.
 
         :raises StoreUnavailableError: if the store does not answer.
--- a/src/cranberrywheel/process/store_session.py
+++ b/src/cranberrywheel/process/store_session.py
@@ -224,7 +224,7 @@
         joined = self._joined_revision == self._lease.revision > 0
         if allowed and joined and snapshot and now_ms >= self._units_due_ms:
             self._units_due_ms = now_ms + UNIT_INTERVAL_MS
-            self._units.step(snapshot, now_ms)
+            self._units.update_units(snapshot, now_ms)
         if allowed:
             self._backoff.succeeded()
 
--- a/src/cranberrywheel/process/timers.py
+++ b/src/cranberrywheel/process/timers.py
@@ -25,7 +25,7 @@
         while self._heap and self._heap[0][0] <= now_ms:
             heapq.heappop(self._heap)[2]()
 
-    def wait_ms(self, now_ms: int, longest_ms: int) -> int:
+    def get_wait_ms(self, now_ms: int, longest_ms: int) -> int:
         """Return the milliseconds until the next callback is due, at least 0.
 
         :param longest_ms: upper bound of the result.
--- a/src/cranberrywheel/process/worker_health.py
+++ b/src/cranberrywheel/process/worker_health.py
@@ -12,7 +12,8 @@
 #: much. A failed dependency raises all rates alike and therefore ejects no worker.
 FAILURE_MARGIN = 0.4
 MIN_DURATIONS = 5.0
-#: A worker is slow if its mean run time is this many times that of the others.
+#: A worker is slow if the geometric mean of its run times is this many times that of
+#: the others.
 SLOW_FACTOR = 3.0
 #: The difference must also exceed this many standard errors, because run times vary.
 SLOW_STANDARD_ERRORS = 4.0
--- a/src/cranberrywheel/process/worker_state.py
+++ b/src/cranberrywheel/process/worker_state.py
@@ -79,14 +79,14 @@
     token: str = ""
     token_asked_ms: int = 0
 
-    def load(self) -> int:
+    def count_used_slots(self) -> int:
         """Return the number of slots that count as used."""
         return self.own_in_flight + self.peer_in_flight + self.penalties
 
     def has_capacity(self) -> bool:
         """Whether it may get requests and has a free slot, whatever its health."""
         is_available = self.listed and self.row.serving and not self.leaving
-        return is_available and self.load() < self.row.slots
+        return is_available and self.count_used_slots() < self.row.slots
 
     def usable_token(self, now_ms: int) -> str | None:
         """Return the start token, or ``None`` if there is none or it is too old."""
@@ -115,7 +115,9 @@
         default_factory=SamplingList
     )
     #: Ejected workers whose backoff has ended.
-    probes: SamplingList[WorkerState] = dataclasses.field(default_factory=SamplingList)
+    probe_candidates: SamplingList[WorkerState] = dataclasses.field(
+        default_factory=SamplingList
+    )
     #: All ejected workers in the order of their ejection.
     ejected: dict[WorkerState, None] = dataclasses.field(default_factory=dict)
     stats: AttemptStats = dataclasses.field(default_factory=AttemptStats)
--- a/src/cranberrywheel/process/worker_table.py
+++ b/src/cranberrywheel/process/worker_table.py
@@ -38,7 +38,7 @@
     row = worker.row
     if row.name in excluded or row.rack in avoided_racks:
         return None
-    return worker.load() / row.slots
+    return worker.count_used_slots() / row.slots
 
 
 class WorkerTable:
@@ -162,14 +162,14 @@
             probed with this request. Pass false if the request cannot be retried,
             because the probe of a dead worker fails. Attempts with excluded workers
             are retries and are never used as probes.
-        :returns: a worker that has a free slot as other_zones as known, or ``None``.
+        :returns: a worker that has a free slot as far as known, or ``None``.
         """
         self._apply_due_changes(now_ms)
         state = self._pools_by_name.get(pool)
         if state is None:
             return None
-        if state.probes and may_probe and not excluded:
-            probe_target = state.probes[0]
+        if state.probe_candidates and may_probe and not excluded:
+            probe_target = state.probe_candidates[0]
             # Return it only once per backoff, because the attempt may fail to start.
             self._schedule_probe(probe_target, now_ms + FIRST_BACKOFF_MS)
             return probe_target.row
@@ -190,10 +190,10 @@
         self._apply_due_changes(now_ms)
         state = self._pools_by_name.get(pool)
         return state is not None and bool(
-            state.same_zone or state.other_zones or state.probes
+            state.same_zone or state.other_zones or state.probe_candidates
         )
 
-    def started(self, worker: str, now_ms: int) -> None:
+    def record_start(self, worker: str, now_ms: int) -> None:
         """Count an attempt that is being sent.
 
         :param worker: name of a worker that :meth:`choose` returned.
@@ -205,7 +205,7 @@
                 found.probing = True
             self._update_lists(found)
 
-    def finished(
+    def record_end(
         self,
         worker: str,
         verdict: AttemptVerdict,
@@ -215,7 +215,7 @@
     ) -> None:
         """Record the result of an attempt and free its slot.
 
-        :param worker: the name given to :meth:`started`.
+        :param worker: the name given to :meth:`record_start`.
         :param verdict: how the attempt ended.
         :param duration_ms: time since it was sent, in milliseconds.
         :param now_ms: reading of the local clock in milliseconds.
@@ -265,7 +265,7 @@
         if found and (not found.token or asked_ms >= found.token_asked_ms):
             found.token, found.token_asked_ms = token, asked_ms
 
-    def token(self, worker: str, now_ms: int) -> str | None:
+    def get_token(self, worker: str, now_ms: int) -> str | None:
         """Return a start token that the worker should still accept.
 
         :param worker: worker name.
@@ -283,7 +283,7 @@
             if worker.own_in_flight
         }
 
-    def ejected(self, pool: str) -> list[str]:
+    def list_ejected(self, pool: str) -> list[str]:
         """Return the names of the ejected workers of a pool."""
         return [worker.row.name for worker in self._pool(pool).ejected]
 
@@ -303,8 +303,8 @@
         else:
             group.discard(worker)
         if worker.ejected_until_ms is None or worker.probing:
-            pool.probes.discard(worker)
-        elif worker in pool.probes and not has_capacity:
+            pool.probe_candidates.discard(worker)
+        elif worker in pool.probe_candidates and not has_capacity:
             self._schedule_probe(worker, worker.ejected_until_ms + FIRST_BACKOFF_MS)
 
     def _remove_if_unused(self, worker: WorkerState) -> None:
@@ -322,7 +322,7 @@
             if worker.ejected_until_ms != due_ms or worker.probing:
                 continue
             if worker.has_capacity():
-                self._pool(worker.row.pool).probes.add(worker)
+                self._pool(worker.row.pool).probe_candidates.add(worker)
             else:
                 self._schedule_probe(worker, now_ms + FIRST_BACKOFF_MS)
 
@@ -400,7 +400,7 @@
 
     def _schedule_probe(self, worker: WorkerState, at_ms: int) -> None:
         worker.ejected_until_ms = at_ms
-        self._pool(worker.row.pool).probes.discard(worker)
+        self._pool(worker.row.pool).probe_candidates.discard(worker)
         heapq.heappush(self._probe_time_heap, (at_ms, next(self._sequence), worker))
 
     def _reinstate(self, worker: WorkerState) -> None:
--- a/src/cranberrywheel_load/bench_schedulers.py
+++ b/src/cranberrywheel_load/bench_schedulers.py
@@ -86,7 +86,7 @@
         worker = worker or self._table.choose(POOL, now_ms)
         if worker is None:
             raise RuntimeError("the pool had room")
-        self._table.started(worker.name, now_ms)
+        self._table.record_start(worker.name, now_ms)
         self._use[request.team] += 1
         return request, worker.name
 
@@ -101,7 +101,7 @@
         """Learn from an attempt."""
         self._use[request.team] -= 1
         run_ms = self._estimates.run_ms(request.queue, DECLARED_MS)
-        self._table.finished(worker, verdict, duration_ms, now_ms, run_ms)
+        self._table.record_end(worker, verdict, duration_ms, now_ms, run_ms)
         if verdict is AttemptVerdict.OK:
             self._estimates.record(request.queue, duration_ms, 1.0, 64)
         if verdict is AttemptVerdict.FAILED:
--- a/src/cranberrywheel_load/decision_cost.py
+++ b/src/cranberrywheel_load/decision_cost.py
@@ -104,9 +104,9 @@
         worker = self.table.choose("pool", now_ms)
         if worker is None:
             raise RuntimeError("the benchmark keeps free slots")
-        if self.table.token(worker.name, now_ms) is None:
+        if self.table.get_token(worker.name, now_ms) is None:
             self.table.set_token(worker.name, "token", now_ms)
-        self.table.started(worker.name, now_ms)
+        self.table.record_start(worker.name, now_ms)
         self.use[request.team] += 1
         self.running.append((worker.name, request, now_ms))
 
@@ -134,7 +134,7 @@
         worker, request, started_ms = self.running.pop()
         self.use[request.team] -= 1
         verdict = AttemptVerdict.FAILED if number % 50 == 0 else AttemptVerdict.OK
-        self.table.finished(worker, verdict, now_ms - started_ms, now_ms)
+        self.table.record_end(worker, verdict, now_ms - started_ms, now_ms)
         self.estimates.record("queue", now_ms - started_ms, 1.0, 64)
 
     def arriving_team(self, number: int) -> str:
--- a/tests/test_worker_table.py
+++ b/tests/test_worker_table.py
@@ -30,8 +30,8 @@
 
     def run_attempt(self, worker, verdict=OK, duration_ms=100, expected_ms=None):
         now_ms = self.clock.now_ms()
-        self.table.started(worker, now_ms)
-        self.table.finished(worker, verdict, duration_ms, now_ms, expected_ms)
+        self.table.record_start(worker, now_ms)
+        self.table.record_end(worker, verdict, duration_ms, now_ms, expected_ms)
 
     def run_requests(self, count, result_of, interval_ms=10):
         """Run requests one after the other.
@@ -50,7 +50,7 @@
     def fill_workers(self, *workers):
         for worker in workers:
             for _ in range(8):
-                self.table.started(worker, self.clock.now_ms())
+                self.table.record_start(worker, self.clock.now_ms())
 
     def test_own_zone_is_preferred_until_it_is_full(self):
         self.assertTrue({self.choose() for _ in range(50)} <= {"w0", "w2", "w4", "w6"})
@@ -81,11 +81,11 @@
         self.assertEqual("w0", self.choose())
 
     def test_removed_worker_keeps_its_tasks_until_they_end(self):
-        self.table.started("w0", 0)
+        self.table.record_start("w0", 0)
         self.table.set_workers([])
         self.assertIs(None, self.choose())
         self.assertEqual({"w0": 1}, self.table.in_flight_by_worker())
-        self.table.finished("w0", OK, 5, 5)
+        self.table.record_end("w0", OK, 5, 5)
         self.assertEqual({}, self.table.in_flight_by_worker())
 
     def test_retry_tries_another_rack_first(self):
@@ -110,18 +110,18 @@
             500, lambda w: (FAILED, 1) if w == "w0" else (OK, 100)
         )
         self.assertTrue(3 <= counts["w0"] <= 6, counts)
-        self.assertEqual(["w0"], self.table.ejected("p"))
+        self.assertEqual(["w0"], self.table.list_ejected("p"))
         self.clock.advance(60_000)
         # A retry must not be used as a probe.
         self.assertNotEqual("w0", self.choose("w2"))
         # A request that cannot be retried must not be used either.
         self.assertNotEqual("w0", self.choose(may_probe=False))
         self.assertEqual("w0", self.choose())
-        self.table.started("w0", self.clock.now_ms())
+        self.table.record_start("w0", self.clock.now_ms())
         # There is at most one probe at a time.
         self.assertNotIn("w0", {self.choose() for _ in range(50)})
-        self.table.finished("w0", OK, 100, self.clock.now_ms())
-        self.assertEqual([], self.table.ejected("p"))
+        self.table.record_end("w0", OK, 100, self.clock.now_ms())
+        self.assertEqual([], self.table.list_ejected("p"))
 
     def eject_w0_and_wait(self):
         self.run_requests(500, lambda w: (FAILED, 1) if w == "w0" else (OK, 100))
@@ -140,7 +140,7 @@
             self.eject_w0_and_wait()
             self.run_attempt(self.choose(), verdict, 1)
             self.assertNotIn("w0", {self.choose() for _ in range(50)})
-            self.assertEqual(["w0"], self.table.ejected("p"))
+            self.assertEqual(["w0"], self.table.list_ejected("p"))
 
     def test_ejected_worker_that_could_not_be_probed_when_due_is_probed_later(self):
         """Guards against a worker that drains during its backoff and stays ejected."""
@@ -167,38 +167,38 @@
             self.clock.advance(10)
             if worker := self.choose():
                 self.run_attempt(worker, FAILED if worker in bad else OK)
-            self.assertTrue(len(self.table.ejected("p")) <= 2)
-        self.assertEqual(2, len(self.table.ejected("p")))
+            self.assertTrue(len(self.table.list_ejected("p")) <= 2)
+        self.assertEqual(2, len(self.table.list_ejected("p")))
         self.table.set_ejection_limit("p", 1)
-        self.assertEqual(1, len(self.table.ejected("p")))
+        self.assertEqual(1, len(self.table.list_ejected("p")))
 
     def test_no_worker_is_ejected_when_all_fail_alike(self):
         """Guards against ejections because a dependency of all workers failed."""
         self.run_requests(500, lambda _w: (FAILED, 100), interval_ms=100)
-        self.assertEqual([], self.table.ejected("p"))
+        self.assertEqual([], self.table.list_ejected("p"))
 
     def test_slow_worker_is_ejected_and_stays_out_while_slow(self):
         self.run_requests(400, lambda w: (OK, 1_000 if w == "w0" else 100))
-        self.assertEqual(["w0"], self.table.ejected("p"))
+        self.assertEqual(["w0"], self.table.list_ejected("p"))
         self.clock.advance(10_000)
         self.run_attempt(self.choose(), OK, 1_000)
-        self.assertEqual(["w0"], self.table.ejected("p"))
+        self.assertEqual(["w0"], self.table.list_ejected("p"))
         self.clock.advance(10_000)
         self.run_attempt(self.choose(), OK, 100)
-        self.assertEqual([], self.table.ejected("p"))
+        self.assertEqual([], self.table.list_ejected("p"))
 
     def test_slow_worker_is_ejected_when_callers_cancel_all_its_requests(self):
         self.run_requests(400, lambda w: (CANCELLED, 2_000) if w == "w0" else (OK, 100))
-        self.assertEqual(["w0"], self.table.ejected("p"))
+        self.assertEqual(["w0"], self.table.list_ejected("p"))
 
     def test_short_cancelled_runs_eject_no_worker(self):
         self.run_requests(1_000, lambda w: (CANCELLED, 5) if w == "w0" else (OK, 100))
-        self.assertEqual([], self.table.ejected("p"))
+        self.assertEqual([], self.table.list_ejected("p"))
 
     def test_mixed_run_times_do_not_make_a_worker_look_slow(self):
         rng = random.Random(SEED)
         self.run_requests(3_000, lambda _w: (OK, round(10 ** rng.uniform(1, 4))))
-        self.assertEqual([], self.table.ejected("p"))
+        self.assertEqual([], self.table.list_ejected("p"))
 
     def test_failures_caused_by_a_request_do_not_eject_workers(self):
         """Guards against ejections because one faulty request fails on each worker."""
@@ -207,32 +207,32 @@
             for worker in ("w0", "w1", "w2"):
                 self.run_attempt(worker, FAILED)
             self.table.retract_failures(["w0", "w1", "w2"], self.clock.now_ms())
-            self.assertEqual([], self.table.ejected("p"))
+            self.assertEqual([], self.table.list_ejected("p"))
 
     def test_retracting_a_failure_reinstates_an_ejected_worker(self):
         for worker in ["w0"] * 3 + ["w1", "w2"]:
             self.run_attempt(worker, FAILED)
-        self.assertEqual(["w0"], self.table.ejected("p"))
+        self.assertEqual(["w0"], self.table.list_ejected("p"))
         self.table.retract_failures(["w0", "w1", "w2"], 0)
-        self.assertEqual([], self.table.ejected("p"))
+        self.assertEqual([], self.table.list_ejected("p"))
 
     def test_worker_with_a_new_address_loses_its_health_statistics(self):
         self.run_requests(500, lambda w: (FAILED, 1) if w == "w0" else (OK, 100))
         moved = [dataclasses.replace(row, address="127.0.0.9:1") for row in rows(8)]
         self.table.set_workers(moved)
-        self.assertEqual([], self.table.ejected("p"))
+        self.assertEqual([], self.table.list_ejected("p"))
 
     def test_refused_starts_do_not_count_as_failures(self):
         self.run_requests(500, lambda _w: (AttemptVerdict.REFUSED, 1), interval_ms=50)
-        self.assertEqual([], self.table.ejected("p"))
+        self.assertEqual([], self.table.list_ejected("p"))
 
     def test_outdated_token_is_not_used(self):
         self.table.set_token("w0", "new", 1_000)
         self.table.set_token("w0", "old", 900)
-        self.assertEqual("new", self.table.token("w0", 2_000))
+        self.assertEqual("new", self.table.get_token("w0", 2_000))
         # The worker refuses tokens older than 2 s.
-        self.assertIs(None, self.table.token("w0", 2_900))
-        self.assertIs(None, self.table.token("w1", 0))
+        self.assertIs(None, self.table.get_token("w0", 2_900))
+        self.assertIs(None, self.table.get_token("w1", 0))
 
     def test_worker_with_all_the_long_requests_is_not_ejected_as_slow(self):
         """Guards against comparing run times of different queues of a pool.
@@ -242,4 +242,4 @@
         short, long = (OK, 100, 100), (OK, 10_000, 10_000)
         self.run_requests(100, lambda _w: short)
         self.run_requests(300, lambda w: long if w == "w0" else short)
-        self.assertEqual([], self.table.ejected("p"))
+        self.assertEqual([], self.table.list_ejected("p"))
