--- a/src/cranberrywheel/process/attempt_manager.py
+++ b/src/cranberrywheel/process/attempt_manager.py
@@ -262,7 +262,7 @@
         if message.confirmed or (message.gone and token_expired):
             self._end(attempt, AttemptVerdict.CANCELLED)
             _log.event(
-                "worker stopped task",
+                "task is stopped",
                 request_id=attempt.task_id,
                 worker=attempt.worker.name,
             )
--- a/src/cranberrywheel/process/dispatcher.py
+++ b/src/cranberrywheel/process/dispatcher.py
@@ -125,7 +125,9 @@
             run()
         except Exception as error:
             _log.warning(
-                "dispatcher step failed; continuing", step=step, error=repr(error)
+                "step failed; continuing with the next one",
+                step=step,
+                error=repr(error),
             )
 
     def _now_ms(self) -> int:
@@ -204,7 +206,7 @@
         for worker in sorted(ejected - self._ejected_workers):
             _log.event("ejected unhealthy worker", worker=worker)
         for worker in sorted(self._ejected_workers - ejected):
-            _log.event("reinstated ejected worker", worker=worker)
+            _log.event("worker is no longer ejected", worker=worker)
         self._ejected_workers = ejected
 
     def _send_reports(self, now_ms: int) -> None:
--- a/src/cranberrywheel/process/entry.py
+++ b/src/cranberrywheel/process/entry.py
@@ -153,7 +153,7 @@
 
     def _stop(self) -> None:
         _log.event(
-            "not ready; waiting for the load balancer",
+            "shutting down; waiting for the load balancer",
             delay_ms=self._settings.leave_delay_ms,
         )
         Clock().sleep_ms(self._settings.leave_delay_ms)
--- a/src/cranberrywheel/process/peer_service.py
+++ b/src/cranberrywheel/process/peer_service.py
@@ -142,14 +142,16 @@
     async def HandOver(self, stream: t.Any) -> None:
         message = await self._receive("HandOver", stream)
         try:
-            check_names([message.process_id, *(m.key_id for m in message.marks)])
+            check_names(
+                [message.process_id, *(tombstone.key_id for tombstone in message.marks)]
+            )
             results = tuple(
                 (r.ticket, decode_answer(r.answer)) for r in message.results
             )
         except PeerError as error:
             raise self._reject("HandOver", error) from None
-        for mark in message.marks:
-            self._exchange.add_tombstone(mark.key_id)
+        for tombstone in message.marks:
+            self._exchange.add_tombstone(tombstone.key_id)
         export = TicketExport(forgotten_ms=message.forgotten_ms, results=results)
         self._import_results(message.process_id, export)
         await stream.send_message(peer_pb2.HandOverAnswer(accepted=len(results)))
--- a/src/cranberrywheel/process/placement.py
+++ b/src/cranberrywheel/process/placement.py
@@ -180,7 +180,8 @@
         if self._retry(pending, result, certainly_not_started=True):
             return
         error = OverloadedError(
-            "No worker accepted the request before its deadline.", "Retry later."
+            "No worker accepted the request, and it is not retried again.",
+            "Retry later.",
         )
         self.request_handler.finish_not_run(pending, error)
 
--- a/src/cranberrywheel/process/quota_manager.py
+++ b/src/cranberrywheel/process/quota_manager.py
@@ -190,7 +190,7 @@
                 raise
             except StoreError as error:
                 _log.warning(
-                    "limit record unusable; using no units of the team",
+                    "could not update limit record; using no units of the team",
                     team=team,
                     cause=error.message,
                 )
--- a/src/cranberrywheel/process/request_handler.py
+++ b/src/cranberrywheel/process/request_handler.py
@@ -290,7 +290,7 @@
         answer = problem_answer(
             request.request_id,
             UnknownOutcomeError(
-                f"An attempt was started but its answer was not received: {detail}",
+                f"An attempt was started but gave no complete answer: {detail}",
                 "Retry if the request is idempotent; otherwise check its effect on "
                 "the target.",
             ),
