--- /dev/null
+++ b/src/cranberrywheel/submission/scheduling_pass.py
@@ -0,0 +1,276 @@
+"""Scheduling pass, which starts the waiting tasks that can start now.
+
+Load pattern: during a burst a queue demands more than its pool holds, so that a pass
+runs at each completion of a task and finds hundreds of steps that fit nowhere. A pass
+covers only services of which something changed, and a step larger than any free
+capacity costs one comparison.
+"""
+
+import typing as t
+
+from cranberrywheel.logs import PartLogger
+from cranberrywheel.submission import actions
+from cranberrywheel.submission.executor import Executor
+from cranberrywheel.submission.live import LiveSubmission, Run, StepRun, Task
+from cranberrywheel.submission.model import NO_RESOURCES, Resources
+from cranberrywheel.submission.placement import (
+    PoolCapacity,
+    choose_executor,
+    choose_gang_executors,
+)
+from cranberrywheel.submission.queue_order import (
+    compute_scheduling_key,
+    estimate_remaining_work,
+)
+from cranberrywheel.submission.state import Advice, SchedulerState
+
+#: Run numbers that one leader may use for a task. Each leader begins above those of
+#: its predecessors, so that a number is never used twice.
+RUN_NUMBERS_PER_TERM = 1_000
+
+_log = PartLogger("scheduler")
+
+
+def start_waiting_tasks(state: SchedulerState, now_ms: int, unix_ms: int) -> None:
+    """Decide the starts in all services that changed since the last pass.
+
+    :param now_ms: steady time in milliseconds.
+    :param unix_ms: time of day in Unix milliseconds.
+    """
+    if not state.may_start or state.configuration is None:
+        return
+    services, state.dirty_services = state.dirty_services, set()
+    for service in sorted(services):
+        if state.waiting_by_service.get(service):
+            _schedule_service(state, service, now_ms, unix_ms)
+
+
+def _schedule_service(
+    state: SchedulerState, service: str, now_ms: int, unix_ms: int
+) -> None:
+    state.quota_limited_services.discard(service)
+    pool = list(state.executors_by_service.get(service, {}).values())
+    pool_capacity = PoolCapacity(pool)
+    for _, step_run in _find_startable_steps(
+        state, service, pool, pool_capacity, now_ms, unix_ms
+    ):
+        _start_step(state, step_run, pool, pool_capacity, now_ms, unix_ms)
+
+
+def _find_startable_steps(
+    state: SchedulerState,
+    service: str,
+    pool: t.Sequence[Executor],
+    pool_capacity: PoolCapacity,
+    now_ms: int,
+    unix_ms: int,
+) -> list[tuple[tuple[int, int, float], StepRun]]:
+    """Return the steps that may start and may fit, with their sort keys, in order."""
+    waiting = state.waiting_by_service[service]
+    unpolled = [
+        executor
+        for executor in pool
+        if not executor.fence_confirmed and now_ms <= executor.lease_expiry_ms
+    ]
+    # An executor whose first poll is not answered yet may report runs of any step.
+    awaiting_poll = any(executor.reachable for executor in unpolled)
+    rows: list[tuple[tuple[int, int, float], StepRun]] = []
+    for submission_id, live in list(waiting.items()):
+        ready = live.list_ready_steps()
+        if not ready and not live.has_waiting:
+            del waiting[submission_id]
+        if live.recovered and awaiting_poll:
+            continue
+        startable = [
+            step_run
+            for step_run in ready
+            if _may_begin_step(state, step_run, unix_ms)
+            and pool_capacity.may_fit(step_run.step.claim)
+            and not (
+                live.recovered and unpolled and _may_run_on_unpolled(state, step_run)
+            )
+        ]
+        if startable:
+            remaining = estimate_remaining_work(
+                live, state.duration_estimates.get_factor(live)
+            )
+            key = compute_scheduling_key(live, remaining, unix_ms)
+            rows.extend((key, step_run) for step_run in startable)
+    rows.sort(key=lambda row: row[0])
+    return rows
+
+
+def _may_run_on_unpolled(state: SchedulerState, step_run: StepRun) -> bool:
+    """Tell whether tasks of a step may run on executors that were never polled."""
+    return step_run.may_have_begun or not state.trusts_records
+
+
+def _may_begin_step(state: SchedulerState, step_run: StepRun, unix_ms: int) -> bool:
+    """Tell whether a step is due and recorded as begun.
+
+    A step that is not recorded yet is marked for the record, so that a successor knows
+    that tasks of it may run. While the store is unreachable no record is needed.
+    """
+    live = step_run.live
+    if live.submission.schedule and live.get_due_ms(step_run.occurrence) > unix_ms:
+        return False
+    if step_run.may_have_begun or state.store_unreachable:
+        return True
+    if not step_run.begin_record_version:
+        state.mark_changed(live)
+        step_run.begin_record_version = live.version
+    return live.stored_version >= step_run.begin_record_version
+
+
+def _start_step(
+    state: SchedulerState,
+    step_run: StepRun,
+    pool: t.Sequence[Executor],
+    pool_capacity: PoolCapacity,
+    now_ms: int,
+    unix_ms: int,
+) -> None:
+    """Start the waiting tasks of a step as far as capacity and quota allow."""
+    live = step_run.live
+    step = step_run.step
+    if not pool_capacity.may_fit(step.claim):
+        return
+    tickets: dict[str, str] | None = None
+    if live.queue.advised:
+        tickets = _get_advised_tickets(state, step_run, pool, now_ms)
+        pool = [executor for executor in pool if executor.id in tickets]
+        pool_capacity = PoolCapacity(pool)
+    if step.gang:
+        _start_gang(state, step_run, pool_capacity, tickets, now_ms, unix_ms)
+        pool_capacity.refresh()
+        return
+    leaving_machines = state.maintenance_due | state.borrowed_machines
+    for task in list(step_run.waiting.values()):
+        if not pool_capacity.may_fit(step.claim) or not _is_within_quota(
+            state, live, step.size
+        ):
+            return
+        executor = choose_executor(pool_capacity, task, now_ms, leaving_machines)
+        if executor is None:
+            if not task.avoid_until_ms_by_executor:
+                return  # the other tasks of the step need the same capacity
+            continue
+        ticket = tickets[executor.id] if tickets else ""
+        _start_run(
+            state,
+            task,
+            _get_next_run_number(state, task),
+            executor,
+            ticket,
+            now_ms,
+            unix_ms,
+        )
+        pool_capacity.refresh()
+
+
+def _start_gang(
+    state: SchedulerState,
+    step_run: StepRun,
+    pool_capacity: PoolCapacity,
+    tickets: dict[str, str] | None,
+    now_ms: int,
+    unix_ms: int,
+) -> None:
+    """Start all members of a gang under one run number, or none."""
+    step = step_run.step
+    if len(step_run.waiting) < step.count:
+        return
+    gang_size = Resources(
+        step.size.cpu * step.count,
+        step.size.memory_mb * step.count,
+        step.size.gpu * step.count,
+    )
+    if not _is_within_quota(state, step_run.live, gang_size):
+        return
+    chosen = choose_gang_executors(pool_capacity.usable, step_run, now_ms)
+    if chosen is None:
+        return
+    number = max(_get_next_run_number(state, task) for task in step_run.tasks)
+    checkpoint = next(
+        (task.checkpoint for task in step_run.tasks if task.checkpoint), ""
+    )
+    for task, executor in zip(step_run.tasks, chosen, strict=True):
+        task.checkpoint = checkpoint
+        ticket = tickets[executor.id] if tickets else ""
+        _start_run(state, task, number, executor, ticket, now_ms, unix_ms)
+
+
+def _get_next_run_number(state: SchedulerState, task: Task) -> int:
+    return max(task.last_run_number, state.term * RUN_NUMBERS_PER_TERM) + 1
+
+
+def _start_run(
+    state: SchedulerState,
+    task: Task,
+    number: int,
+    executor: Executor,
+    ticket: str,
+    now_ms: int,
+    unix_ms: int,
+) -> None:
+    """Track a new run and add its start to the actions."""
+    live = task.step_run.live
+    task.last_run_number = number
+    run = Run(task, number, executor.id, now_ms)
+    state.track_run(run, executor)
+    _log.event(
+        "starting a run",
+        request=task.name,
+        run=number,
+        executor=executor.id,
+        queue=live.queue.name,
+        waited_ms=unix_ms - live.submission.accepted_ms,
+        free_cpu=executor.free.cpu,
+        config=state.configuration.version if state.configuration else 0,
+    )
+    state.actions.append(actions.StartRun(run, ticket))
+
+
+def _is_within_quota(
+    state: SchedulerState, live: LiveSubmission, size: Resources
+) -> bool:
+    """Tell whether a submission's organisation may use further resources.
+
+    A service in which the quota is exhausted is noted as quota-limited.
+    """
+    owner = live.submission.organisation
+    if state.configuration is None or not owner:
+        return True
+    organisation = state.configuration.organisations_by_name.get(owner)
+    if organisation is None:
+        return True
+    quota = organisation.quota
+    total = state.used_by_organisation.get(owner, NO_RESOURCES) + size
+    within_quota = (
+        (not quota.cpu or total.cpu <= quota.cpu)
+        and (not quota.memory_mb or total.memory_mb <= quota.memory_mb)
+        and (not quota.gpu or total.gpu <= quota.gpu)
+    )
+    if not within_quota:
+        state.quota_limited_services.add(live.queue.service)
+    return within_quota
+
+
+def _get_advised_tickets(
+    state: SchedulerState,
+    step_run: StepRun,
+    pool: t.Sequence[Executor],
+    now_ms: int,
+) -> dict[str, str]:
+    """Return the advised executors of a step with their tickets.
+
+    Requests new advice if there is none, and returns nothing until it arrives.
+    """
+    advice = state.advice_by_step.get(step_run.name)
+    if advice is not None and (advice.pending or advice.until_ms > now_ms):
+        return advice.tickets
+    ids = tuple(executor.id for executor in pool if executor.is_usable)
+    if ids:
+        state.advice_by_step[step_run.name] = Advice({}, 0, pending=True)
+        state.actions.append(actions.RequestAdvice(step_run.name, ids))
+    return {}
--- a/tests/test_store_session_network.py
+++ b/tests/test_store_session_network.py
@@ -5,7 +5,7 @@
 
 import testtools
 from entry_group_fixtures import TEXT
-from test_peer_service import WAIT_S, Peer, free_ports
+from test_peer_service import WAIT_S, Peer, find_free_ports
 from werkzeug.serving import make_server
 
 from cranberrywheel.clock import Clock
@@ -39,7 +39,9 @@
     def start_entry(self, number, port):
         peer = Peer(number, port, lambda incoming: None)
         settings = dataclasses.replace(peer.settings, platform=self.store)
-        peer.session = StoreSession(settings, Clock(), peer.dispatch, peer.exchange)
+        peer.session = StoreSession(
+            settings, Clock(), peer.record_report, peer.exchange
+        )
         peer.service.start()
         peer.session.start()
         self.addCleanup(self.stop_entry, peer)
@@ -56,7 +58,7 @@
 
     def test_grant_and_withdrawal_reach_the_other_entry(self):
         """Both must be in force at an entry that did not accept them."""
-        a, b = (self.start_entry(n, p) for n, p in enumerate(free_ports(2)))
+        a, b = (self.start_entry(n, p) for n, p in enumerate(find_free_ports(2)))
         self.assertEqual(1, self.ask(a, ApplyConfiguration, TEXT, 0).result(WAIT_S))
         key_id = self.ask(b, CreateKey, "t").result(WAIT_S).partition(".")[0]
         result = self.ask(a, RevokeKey, key_id).result(WAIT_S)
