--- a/tests/test_quota_manager.py
+++ b/tests/test_quota_manager.py
@@ -89,7 +89,7 @@
         b.waiting_by_team = {"t": 9}
         group.run(6_000)
         self.assertEqual(3, a.usable("t"))
-        a.session._units.update_from_list(old, [], group.clock.now_ms())
+        a.session._quota_manager.update_from_list(old, [], group.clock.now_ms())
         self.assertEqual(3, a.usable("t"))
 
     def test_reclaim_is_not_written_after_the_holder_registered_again(self):
@@ -129,7 +129,7 @@
         def put_after_registration(key, *args):
             if key == "limits/t" and b.paused:
                 b.paused = False
-                b.session._keep_lease(group.clock.now_ms())
+                b.session._renew_lease_if_due(group.clock.now_ms())
             try:
                 return put(key, *args)
             finally:
