--- a/src/cranberrywheel/process/store_session.py
+++ b/src/cranberrywheel/process/store_session.py
@@ -135,7 +135,7 @@
         peers: PeerExchange,
         make_client: t.Callable[[PlatformSettings], StoreClient] = StoreClient,
     ) -> None:
-        #: Takes ApplyConfiguration, CreateKey, RevokeKey, QuotaDemand and Stop.
+        #: Receives ApplyConfiguration, CreateKey, RevokeKey, QuotaDemand and Stop.
         self.inbox: queue.SimpleQueue[object] = queue.SimpleQueue()
         self._clock = clock
         self._to_dispatcher = to_dispatcher
