--- a/src/cranberrywheel/process/planner.py
+++ b/src/cranberrywheel/process/planner.py
@@ -38,11 +38,11 @@
 from cranberrywheel.process.size_search import choose_sizes
 from cranberrywheel.process.waves import is_maintenance_due, plan_round
 from cranberrywheel.process.worker_reports import (
-    TaskRow,
-    UsageBook,
-    Workers,
-    report_of,
+    TaskStatus,
+    UsageEstimator,
+    WorkerClient,
     sum_usage,
+    summarize_worker,
 )
 from cranberrywheel.process.zone_lease import ZoneLease
 from cranberrywheel.process.zone_record import ZoneRecord
@@ -82,7 +82,7 @@
         self,
         settings: PlannerSettings,
         client: StoreClient,
-        workers: Workers,
+        workers: WorkerClient,
         clock: Clock | None = None,
         now_wall_ms: t.Callable[[], int] = wall_clock_ms,
     ) -> None:
@@ -97,7 +97,7 @@
             settings.zone, client, self._records, self._lease, self._clock
         )
         self._disruptions = Disruptions(self._records)
-        self._usage = UsageBook()
+        self._usage = UsageEstimator()
         self._configuration: Configuration | None = None
         self._configuration_version = 0
         self._instance_list = InstanceList(0, 0, ())
@@ -182,7 +182,7 @@
 
     def _request_tasks(
         self, names: t.Iterable[str]
-    ) -> dict[str, tuple[TaskRow, ...] | None]:
+    ) -> dict[str, tuple[TaskStatus, ...] | None]:
         """Request the tasks of workers.
 
         :returns: tasks by name, ``None`` for a worker that did not answer. Workers
@@ -231,7 +231,7 @@
         configuration: Configuration,
         name: str,
         assignment: InstanceAssignment,
-        tasks: tuple[TaskRow, ...] | None,
+        tasks: tuple[TaskStatus, ...] | None,
     ) -> InstanceAssignment | None:
         if (
             assignment.target_pool
@@ -253,11 +253,11 @@
         now_ms = self._now_wall_ms()
         maintained_ms = self._zone.pools.maintained_ms_by_name.get(name, 0)
         due = is_maintenance_due(configuration, maintained_ms, now_ms)
-        report = report_of(configuration, tasks)
+        report = summarize_worker(configuration, tasks)
         return instance_lifecycle.advance(assignment, report, rebooted, due, now_ms)
 
     def _checkpoint_tasks(
-        self, configuration: Configuration, name: str, tasks: tuple[TaskRow, ...]
+        self, configuration: Configuration, name: str, tasks: tuple[TaskStatus, ...]
     ) -> None:
         addresses = {
             instance.instance_id: instance.address
@@ -360,7 +360,7 @@
             self._usage.sample(tasks_by_name)
             self._next_sample_ms = self._clock.now_ms() + SAMPLE_INTERVAL_MS
         reports: dict[str, WorkerReport] = {
-            name: report_of(configuration, tasks)
+            name: summarize_worker(configuration, tasks)
             for name, tasks in tasks_by_name.items()
         }
         now_ms = self._now_wall_ms()
--- a/src/cranberrywheel_load/bench_schedulers.py
+++ b/src/cranberrywheel_load/bench_schedulers.py
@@ -80,7 +80,7 @@
 
     def start(self, now_ms: int) -> tuple[Request, str] | None:
         """Return the next request to start and its worker."""
-        if not self._table.has_room(POOL, now_ms):
+        if not self._table.has_capacity(POOL, now_ms):
             return None
         limit = LIMIT_FRACTION * CAPACITY
         request = self._queue.pop(
@@ -94,7 +94,7 @@
         worker = worker or self._table.choose(POOL, now_ms)
         if worker is None:
             raise RuntimeError("the pool had room")
-        self._table.started(worker.name, now_ms)
+        self._table.record_start(worker.name, now_ms)
         self._use[request.team] += 1
         return request, worker.name
 
@@ -109,14 +109,14 @@
         """Learn from an attempt."""
         self._use[request.team] -= 1
         run_ms = self._estimates.estimate_run_ms(request.queue, DECLARED_MS)
-        self._table.finished(worker, verdict, duration_ms, now_ms, run_ms)
+        self._table.record_end(worker, verdict, duration_ms, now_ms, run_ms)
         if verdict is AttemptVerdict.OK:
             self._estimates.record(request.queue, duration_ms, 1.0, 64)
         if verdict is AttemptVerdict.FAILED:
             failed = self._failed_workers.setdefault(request.request_id, [])
             failed.append(worker)
             if request_caused_failures(failed):
-                self._table.excuse(failed, now_ms)
+                self._table.retract_failures(failed, now_ms)
         else:
             self._failed_workers.pop(request.request_id, None)
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -6,11 +6,11 @@
 from cranberrywheel.process.disruptions import Disruptions
 from cranberrywheel.process.record_store import RecordStore
 from cranberrywheel.process.worker_reports import (
-    TaskRow,
-    UsageBook,
+    TaskStatus,
+    UsageEstimator,
     parse_tasks,
-    report_of,
     sum_usage,
+    summarize_worker,
 )
 
 MINUTE_MS = 60_000
@@ -52,7 +52,7 @@
         # Guards against a reboot that interrupts a running task.
         self.deployment.rounds(self.planner, 1)
         draining_name = min(n for n in self.deployment.states() if n.startswith("a"))
-        running_task = TaskRow(task_id="t", state="running", queue="qa")
+        running_task = TaskStatus(task_id="t", state="running", queue="qa")
         self.deployment.workers.tasks_by_name = {draining_name: (running_task,)}
         self.deployment.rounds(self.planner, 300, MINUTE_MS)
         self.assertNotIn((draining_name, "reboot"), self.client.actions)
@@ -64,7 +64,7 @@
         # Guards against a drain that waits for tasks that could be checkpointed.
         self.deployment.rounds(self.planner, 1)
         draining_name = min(n for n in self.deployment.states() if n.startswith("b"))
-        running_task = TaskRow(task_id="t", state="running", queue="qb")
+        running_task = TaskStatus(task_id="t", state="running", queue="qb")
         self.deployment.workers.tasks_by_name = {draining_name: (running_task,)}
         self.deployment.rounds(self.planner, 3)
         self.assertEqual([(draining_name, "t")], self.deployment.workers.checkpoints)
@@ -97,7 +97,7 @@
         self.assertNotEqual(set(), draining)
         self.deployment.clock.advance(20_000)
         other, other_client = self.deployment.planner(instance="p2")
-        running_task = TaskRow(task_id="t", state="running", queue="qa")
+        running_task = TaskStatus(task_id="t", state="running", queue="qa")
         self.deployment.workers.tasks_by_name = dict.fromkeys(draining, (running_task,))
         self.deployment.rounds(other, 1)
         # The platform sees the new fence for all instances of the zone.
@@ -221,7 +221,9 @@
 
     def test_worker_whose_tasks_all_failed_is_quarantined(self):
         # Guards against a faulty worker that keeps receiving tasks.
-        failed_tasks = tuple(TaskRow(task_id=f"t{n}", state="failed") for n in range(5))
+        failed_tasks = tuple(
+            TaskStatus(task_id=f"t{n}", state="failed") for n in range(5)
+        )
         self.deployment.workers.tasks_by_name = {"a2": failed_tasks}
         self.deployment.rounds(self.planner, 1)
         self.assertEqual(("a", "quarantined"), self.deployment.states()["a2"])
@@ -275,17 +277,17 @@
             {"id": "1", "state": "running", "queue": "qa", "deadline_ms": 7_200_000},
             {"id": "2", "state": "running", "queue": "qb", "deadline_ms": 9_000_000},
         ]
-        report = report_of(configuration, parse_tasks({"tasks": rows}))
+        report = summarize_worker(configuration, parse_tasks({"tasks": rows}))
         self.assertEqual((2, 7_200_000), (report.running, report.drain_ms))
-        self.assertFalse(report_of(configuration, None).reachable)
+        self.assertFalse(summarize_worker(configuration, None).reachable)
         for body in ({}, {"tasks": [3]}, "x"):
             self.assertRaises(ValueError, parse_tasks, body)
 
     def test_usage_of_zones_adds_up(self):
         # Guards against pool demand that misses the usage of other zones.
         configuration = Deployment(make_configuration_text()).configuration
-        estimator = UsageBook()
-        row = TaskRow(task_id="1", state="running", queue="qa", cores=2, memory_mb=9)
+        estimator = UsageEstimator()
+        row = TaskStatus(task_id="1", state="running", queue="qa", cores=2, memory_mb=9)
         for sample in range(40):
             estimator.sample({"a1": (row, row) if sample % 2 else ()})
         body = estimator.to_body(NOW_MS)
