--- a/src/cranberrywheel_load/measures.py
+++ b/src/cranberrywheel_load/measures.py
@@ -121,7 +121,7 @@
 def _task_intervals(history: History) -> dict[str, list[Interval]]:
     by_queue: dict[str, list[Interval]] = collections.defaultdict(list)
     last_ms = history.events[-1].at_ms if history.events else 0.0
-    for start in history.of(TaskStart):
+    for start in history.select(TaskStart):
         end = history.ends_by_task.get(start.task)
         end_ms = end.at_ms if end else last_ms
         by_queue[start.queue].append((start.at_ms, end_ms, start.team))
@@ -138,7 +138,7 @@
     calls, tasks = _call_intervals(results), _task_intervals(history)
     shares = {n: x.share for n, x in configuration.teams_by_name.items()}
     found: dict[str, list[float]] = collections.defaultdict(list)
-    times = [e.at_ms for e in history.of(Invoke)] or [0.0]
+    times = [e.at_ms for e in history.select(Invoke)] or [0.0]
     for service in configuration.services_by_name.values():
         pool = configuration.pools_by_name[service.pool]
         capacity = len(pool.worker_names) * pool.slots_per_executor
@@ -164,10 +164,10 @@
 def urgent_starts(history: History, configuration: Configuration) -> dict[str, float]:
     """Return percentiles of the time from an urgent call to its first start."""
     waits = []
-    for invoke in history.of(Invoke):
-        work = history.work_of(invoke.request)
-        first = min(e.at_ms for e in history.invokes_by_work[work])
-        starts = history.starts_by_work.get(work)
+    for invoke in history.select(Invoke):
+        work = history.get_work_id(invoke.request)
+        first = min(e.at_ms for e in history.invokes_by_work_id[work])
+        starts = history.starts_by_work_id.get(work)
         if not configuration.queues_by_name[invoke.queue].urgent or not starts:
             continue
         if invoke.at_ms == first:
@@ -192,8 +192,8 @@
 
 def most_runs(history: History) -> int:
     """Return the greatest number of starts of one ticket."""
-    tickets = {e.ticket for e in history.of(Invoke) if e.ticket}
-    return max((len(history.starts_by_work.get(x, [])) for x in tickets), default=0)
+    tickets = {e.ticket for e in history.select(Invoke) if e.ticket}
+    return max((len(history.starts_by_work_id.get(x, [])) for x in tickets), default=0)
 
 
 def cut_by_stops(
@@ -221,14 +221,14 @@
     """
     failed_ms = [
         end.at_ms
-        for end in history.of(TaskEnd)
+        for end in history.select(TaskEnd)
         if end.worker == worker and end.how == "failed" and end.at_ms >= since_ms
     ]
     if not failed_ms:
         return 0
     return sum(
         start.worker == worker and start.at_ms > min(failed_ms) + bound_ms
-        for start in history.of(TaskStart)
+        for start in history.select(TaskStart)
     )
 
 
@@ -288,5 +288,5 @@
         false_not_run=len(verdicts["true-not-run"].violations),
         cut=cut_by_stops(results, stops),
         late_work=late_work + len(verdicts["leaving"].violations),
-        violations=[v.line() for v in verdicts.values() if v.violations],
+        violations=[v.format_line() for v in verdicts.values() if v.violations],
     )
--- a/src/cranberrywheel_spec/history.py
+++ b/src/cranberrywheel_spec/history.py
@@ -43,7 +43,7 @@
     checked: int
     violations: list[str]
 
-    def line(self) -> str:
+    def format_line(self) -> str:
         """Return the verdict as one line."""
         word = "FAIL" if self.violations else "ok" if self.checked else "unexercised"
         text = f"{word} {self.rule} checked={self.checked}"
@@ -57,23 +57,23 @@
 
 
 def _at_most_once(history: History) -> Findings:
-    for work in sorted({e.ticket for e in history.of(Invoke) if e.ticket}):
-        starts = history.starts_by_work.get(work, [])
+    for work in sorted({e.ticket for e in history.select(Invoke) if e.ticket}):
+        starts = history.starts_by_work_id.get(work, [])
         where = ", ".join(f"{s.worker} at {s.at_ms}" for s in starts)
         yield f"ticket {work} started on {where}" if len(starts) > 1 else None
 
 
 def _true_not_run(history: History) -> Findings:
-    answered_ms = {e.request: e.at_ms for e in history.of(Response)}
-    for answer in history.of(Response):
+    answered_ms = {e.request: e.at_ms for e in history.select(Response)}
+    for answer in history.select(Response):
         if answer.outcome != "not-run":
             continue
-        work = history.work_of(answer.request)
+        work = history.get_work_id(answer.request)
         others = [
-            a for a in history.invokes_by_work[work] if a.request != answer.request
+            a for a in history.invokes_by_work_id[work] if a.request != answer.request
         ]
         found = None
-        for start in history.starts_by_work.get(work, []):
+        for start in history.starts_by_work_id.get(work, []):
             # A later start is legitimate only for another open call with the ticket.
             open_call = any(
                 a.at_ms <= start.at_ms <= answered_ms.get(a.request, float("inf"))
@@ -82,19 +82,21 @@
             if start.at_ms <= answer.at_ms or not open_call:
                 found = f"{answer.request} got not-run, {start.task} ran for {work}"
         yield found
-    for query in history.of(Query):
+    for query in history.select(Query):
         if query.outcome == "not-run":
-            starts = history.starts_by_work.get(query.ticket, [])
+            starts = history.starts_by_work_id.get(query.ticket, [])
             yield f"ticket {query.ticket} not-run but started" if starts else None
 
 
 def _true_outcome(history: History) -> Findings:
-    for answer in history.of(Response):
+    for answer in history.select(Response):
         if answer.outcome not in ("ok", "failed"):
             continue
-        work = history.work_of(answer.request)
+        work = history.get_work_id(answer.request)
         starts = [
-            s for s in history.starts_by_work.get(work, []) if s.at_ms <= answer.at_ms
+            s
+            for s in history.starts_by_work_id.get(work, [])
+            if s.at_ms <= answer.at_ms
         ]
         ends = [history.ends_by_task.get(s.task) for s in starts]
         hows = {end.how if end else "open" for end in ends}
@@ -106,14 +108,14 @@
 
 
 def _own_answer(history: History) -> Findings:
-    for answer in history.of(Response):
+    for answer in history.select(Response):
         if answer.request not in history.invokes_by_request:
             yield f"response to {answer.request}, which nobody invoked"
         elif not answer.complete:
             yield f"{answer.request} got an incomplete answer"
-        elif answer.outcome == "ok" and history.work_of(
+        elif answer.outcome == "ok" and history.get_work_id(
             answer.answer_to
-        ) != history.work_of(answer.request):
+        ) != history.get_work_id(answer.request):
             yield f"{answer.request} got the answer to {answer.answer_to!r}"
         else:
             yield None
@@ -144,7 +146,7 @@
 
 def _units(history: History) -> Findings:
     last: dict[str, Units] = {}
-    for record in sorted(history.of(Units), key=lambda e: e.revision):
+    for record in sorted(history.select(Units), key=lambda e: e.revision):
         before = last.get(record.team)
         held = sum(record.held_by_holder.values())
         # After a limit is lowered, the sum may stay above it but must not grow.
@@ -157,7 +159,7 @@
 
 def _versions(history: History) -> Findings:
     last: dict[str, int] = {}
-    for adopt in history.of(Adopt):
+    for adopt in history.select(Adopt):
         before = last.get(adopt.process, 0)
         last[adopt.process] = max(before, adopt.version)
         text = f"{adopt.process} went from version {before} to {adopt.version}"
@@ -165,10 +167,10 @@
 
 
 def _keys(history: History) -> Findings:
-    ends_ms = {e.key_id: e.at_ms for e in reversed(history.of(Withdraw))}
-    accepted = {s.request for s in history.of(TaskStart)}
-    accepted |= {e.request for e in history.of(Response) if e.outcome == "ok"}
-    for invoke in history.of(Invoke):
+    ends_ms = {e.key_id: e.at_ms for e in reversed(history.select(Withdraw))}
+    accepted = {s.request for s in history.select(TaskStart)}
+    accepted |= {e.request for e in history.select(Response) if e.outcome == "ok"}
+    for invoke in history.select(Invoke):
         end_ms = ends_ms.get(invoke.key_id, float("inf")) + history.meta.key_bound_ms
         late = invoke.at_ms > end_ms and invoke.queue not in history.meta.stale_queues
         if late or not invoke.key_valid:
@@ -177,7 +179,7 @@
 
 
 def _teams(history: History) -> Findings:
-    for start in history.of(TaskStart):
+    for start in history.select(TaskStart):
         invoke = history.invokes_by_request.get(start.request)
         if invoke is None:
             yield f"task {start.task} ran for {start.request!r}, which nobody invoked"
@@ -189,7 +191,7 @@
 
 def _pools(history: History) -> Findings:
     last: dict[str, PoolRecord] = {}
-    for record in sorted(history.of(PoolRecord), key=lambda e: e.revision):
+    for record in sorted(history.select(PoolRecord), key=lambda e: e.revision):
         before = last.get(record.zone)
         last[record.zone] = record
         yield _pool_fault(record, before, last)
@@ -277,7 +279,7 @@
         return 2
     verdicts = check(events)
     for verdict in verdicts:
-        print(verdict.line())
+        print(verdict.format_line())
     return 1 if any(v.violations for v in verdicts) else 0
 
 
--- a/src/cranberrywheel_spec/history_events.py
+++ b/src/cranberrywheel_spec/history_events.py
@@ -212,22 +212,24 @@
         self.events = sorted(
             self.events, key=lambda e: (e.at_ms, order.get(e.event, 3))
         )
-        metas = self.of(Meta)
+        metas = self.select(Meta)
         self.meta = metas[0] if metas else Meta(at_ms=0, event="meta")
-        self.invokes_by_request = {e.request: e for e in self.of(Invoke)}
-        self.starts_by_work: dict[str, list[TaskStart]] = collections.defaultdict(list)
-        for start in self.of(TaskStart):
-            self.starts_by_work[self.work_of(start.request)].append(start)
-        self.invokes_by_work: dict[str, list[Invoke]] = collections.defaultdict(list)
-        for invoke in self.of(Invoke):
-            self.invokes_by_work[invoke.ticket or invoke.request].append(invoke)
-        self.ends_by_task = {e.task: e for e in self.of(TaskEnd)}
-
-    def of(self, kind: type[_E]) -> list[_E]:
+        self.invokes_by_request = {e.request: e for e in self.select(Invoke)}
+        self.starts_by_work_id: dict[str, list[TaskStart]] = collections.defaultdict(
+            list
+        )
+        for start in self.select(TaskStart):
+            self.starts_by_work_id[self.get_work_id(start.request)].append(start)
+        self.invokes_by_work_id: dict[str, list[Invoke]] = collections.defaultdict(list)
+        for invoke in self.select(Invoke):
+            self.invokes_by_work_id[invoke.ticket or invoke.request].append(invoke)
+        self.ends_by_task = {e.task: e for e in self.select(TaskEnd)}
+
+    def select(self, kind: type[_E]) -> list[_E]:
         """Return the events of one class, in time order."""
         return [event for event in self.events if isinstance(event, kind)]
 
-    def work_of(self, request: str) -> str:
+    def get_work_id(self, request: str) -> str:
         """Return what a request asks for: its ticket, or itself without one."""
         invoke = self.invokes_by_request.get(request)
         return invoke.ticket if invoke and invoke.ticket else request
--- a/tests/test_entry_faults.py
+++ b/tests/test_entry_faults.py
@@ -134,14 +134,14 @@
         return History(read_events(self.folder))
 
     def starts(self, request):
-        return [e for e in self.history().of(TaskStart) if e.request == request]
+        return [e for e in self.history().select(TaskStart) if e.request == request]
 
     def wait_for_start(self, request):
         return wait_until(lambda: self.starts(request), WAIT_S, f"{request} runs")[0]
 
     def wait_for_end(self, task):
         def find():
-            return [e for e in self.history().of(TaskEnd) if e.task == task]
+            return [e for e in self.history().select(TaskEnd) if e.task == task]
 
         return wait_until(find, WAIT_S, f"{task} ends")[0].how
 
@@ -152,7 +152,9 @@
         return f"call-{number}"
 
     def assert_history_holds(self):
-        violated = [v.line() for v in check(read_events(self.folder)) if v.violations]
+        violated = [
+            v.format_line() for v in check(read_events(self.folder)) if v.violations
+        ]
         self.assertEqual([], violated)
 
     # Failures of processes
@@ -297,7 +299,9 @@
         ]
         wait_until(
             lambda: (
-                len([s for s in self.history().of(TaskStart) if s.queue == "browse"])
+                len(
+                    [s for s in self.history().select(TaskStart) if s.queue == "browse"]
+                )
                 >= 4
             ),
             WAIT_S,
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -149,7 +149,7 @@
 
     def test_correct_histories_are_accepted(self):
         for name, lines in ACCEPTED.items():
-            bad = [v.line() for v in check(parse_lines(lines)) if v.violations]
+            bad = [v.format_line() for v in check(parse_lines(lines)) if v.violations]
             self.assertEqual([], bad, name)
 
     def test_line_order_does_not_matter(self):
