--- a/src/cranberrywheel/node/maintenance.py
+++ b/src/cranberrywheel/node/maintenance.py
@@ -4,7 +4,7 @@
 import typing as t
 
 from cranberrywheel.connection.http_loop import HttpLoop
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.node.keys import LEADER_KEY, WAVE_PROGRESS_PREFIX
 from cranberrywheel.node.pool_moves import PoolMoveController
 from cranberrywheel.node.watch import PrefixWatch
@@ -26,7 +26,7 @@
 #: Delay before an order or a store call that got no answer is repeated.
 RETRY_MS = 700
 
-_log = PartLogger("duties")
+_log = ComponentLogger("duties")
 
 
 class MaintenanceController:
--- a/src/cranberrywheel/node/store_route.py
+++ b/src/cranberrywheel/node/store_route.py
@@ -5,7 +5,7 @@
 import typing as t
 
 from cranberrywheel.connection.http_loop import HttpLoop, HttpReply, HttpRequest
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 
 STATUS_PATH = "/peer/status"
 #: Path prefix under which a peer relays calls to the store.
@@ -27,7 +27,7 @@
 #: leader may have extended without the store.
 OUTAGE_MEMORY_MS = 8_000
 
-_log = PartLogger("store-contact")
+_log = ComponentLogger("store-contact")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/cranberrywheel/node/watch.py
+++ b/src/cranberrywheel/node/watch.py
@@ -3,7 +3,7 @@
 import typing as t
 
 from cranberrywheel.connection.http_loop import HttpLoop
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.platform.store import Item, Outcome, Store, StoreReply
 
 #: Longest time for which the store holds a watch call open. A broken connection is
@@ -12,7 +12,7 @@
 #: Delay before a failed call is repeated.
 RETRY_MS = 250
 
-_log = PartLogger("watch")
+_log = ComponentLogger("watch")
 
 
 class PrefixWatch:
--- a/src/cranberrywheel/platform/executors.py
+++ b/src/cranberrywheel/platform/executors.py
@@ -6,7 +6,7 @@
 import pydantic
 
 from cranberrywheel.connection.http_loop import HttpLoop, HttpReply, HttpRequest
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.submission.executor_orders import (
     CompletionReport,
     ExecutorEntry,
@@ -31,7 +31,7 @@
 #: Most executors in one call to the advisor.
 MAX_EXECUTORS_PER_ADVICE = 100
 
-_log = PartLogger("executors")
+_log = ComponentLogger("executors")
 
 
 class _WireModel(pydantic.BaseModel):
--- a/src/cranberrywheel/process/fleet_view.py
+++ b/src/cranberrywheel/process/fleet_view.py
@@ -4,7 +4,7 @@
 import typing as t
 
 from cranberrywheel.connection.store_client import Instance, InstanceList
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.process.worker_table import WorkerRow, WorkerTable
 from cranberrywheel.version.configuration import Configuration
 
@@ -23,12 +23,12 @@
         self._workers = workers
         self._configuration: Configuration | None = None
         self._revision_by_zone: dict[str, int] = {}
-        self._rows_by_zone: dict[str, tuple[m.PoolRow, ...]] = {}
+        self._rows_by_zone: dict[str, tuple[messages.PoolAssignment, ...]] = {}
         self._bodies_by_zone: dict[str, dict[str, t.Any]] = {}
         self._instance_list = InstanceList(0, 0, ())
         self._instances_by_id: dict[str, Instance] = {}
         self._refused_as_leaving: set[str] = set()
-        self._peers_by_id: dict[str, m.PeerReport] = {}
+        self._peers_by_id: dict[str, messages.PeerReport] = {}
         #: Idle quota units by peer and team, less those reserved here since the
         #: peer's last report.
         self._idle_units: dict[tuple[str, str], int] = {}
@@ -50,7 +50,7 @@
         }
         self._refresh_workers()
 
-    def set_pools(self, message: m.PoolsChanged) -> None:
+    def set_pools(self, message: messages.PoolsChanged) -> None:
         """Use a ``pools/<zone>`` record if it is newer than the present one."""
         zone = message.zone
         if message.revision <= self._revision_by_zone.get(zone, 0):
@@ -73,7 +73,9 @@
             return
         self._instance_list = instance_list
         self._instances_by_id = {
-            i.instance_id: i for i in instance_list.instances if i.kind == "worker"
+            instance.instance_id: instance
+            for instance in instance_list.instances
+            if instance.kind == "worker"
         }
         self._refused_as_leaving.clear()
         self._refresh_workers()
@@ -83,13 +85,13 @@
         self._refused_as_leaving.add(worker)
         self._update_leaving()
 
-    def _list_assignments(self) -> dict[str, m.PoolRow]:
+    def _list_assignments(self) -> dict[str, messages.PoolAssignment]:
         """Return pool and state by worker, from pool records or else as declared."""
         assert self._configuration is not None
         rows = {
-            w.name: m.PoolRow(w.name, w.pool, SERVING)
-            for w in self._configuration.workers_by_name.values()
-            if w.zone not in self._rows_by_zone
+            worker.name: messages.PoolAssignment(worker.name, worker.pool, SERVING)
+            for worker in self._configuration.workers_by_name.values()
+            if worker.zone not in self._rows_by_zone
         }
         for zone_rows in self._rows_by_zone.values():
             rows.update({row.worker: row for row in zone_rows})
@@ -125,7 +127,11 @@
         self._update_ejection_limits(rows)
 
     def _update_leaving(self) -> None:
-        leaving = {i.instance_id for i in self._instances_by_id.values() if i.leaving}
+        leaving = {
+            instance.instance_id
+            for instance in self._instances_by_id.values()
+            if instance.leaving
+        }
         for peer in self._peers_by_id.values():
             leaving.update(peer.leaving_instances)
         self._workers.set_leaving(leaving | self._refused_as_leaving)
@@ -146,7 +152,7 @@
             removable = serving_by_pool.get(pool, 0) - min_healthy
             self._workers.set_ejection_limit(pool, max(0, removable))
 
-    def set_peer(self, report: m.PeerReport) -> None:
+    def set_peer(self, report: messages.PeerReport) -> None:
         """Use a peer's report."""
         previous_report = self._peers_by_id.get(report.process_id)
         self._peers_by_id[report.process_id] = report
@@ -249,7 +255,7 @@
         queued_by_service: t.Mapping[str, t.Mapping[str, int]],
         idle_units_by_team: t.Mapping[str, int],
         stopping: bool,
-    ) -> m.LoadReport:
+    ) -> messages.LoadReport:
         """Build the load report for the next exchange with peers.
 
         :param queued_by_service: queued requests by service, then by team.
@@ -268,11 +274,13 @@
             if idle_units:
                 loads.setdefault((team, ""), [0, 0, 0])[2] = idle_units
         own_leaving = {
-            i.instance_id for i in self._instances_by_id.values() if i.leaving
+            instance.instance_id
+            for instance in self._instances_by_id.values()
+            if instance.leaving
         }
-        return m.LoadReport(
+        return messages.LoadReport(
             loads=tuple(
-                m.PeerLoad(team, service, *counts)
+                messages.PeerLoad(team, service, *counts)
                 for (team, service), counts in sorted(loads.items())
             ),
             in_flight_by_worker=self._workers.in_flight_by_worker(),
--- a/src/cranberrywheel/process/planner.py
+++ b/src/cranberrywheel/process/planner.py
@@ -20,7 +20,7 @@
     StoreError,
     StoreUnavailableError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process import instance_lifecycle
 from cranberrywheel.process.capacity import build_problem
 from cranberrywheel.process.disruptions import Disruptions
@@ -38,11 +38,11 @@
 from cranberrywheel.process.size_search import choose_sizes
 from cranberrywheel.process.waves import is_maintenance_due, plan_round
 from cranberrywheel.process.worker_reports import (
-    TaskRow,
-    UsageBook,
-    Workers,
-    report_of,
+    TaskStatus,
+    UsageEstimator,
+    WorkerClient,
     sum_usage,
+    summarize_worker,
 )
 from cranberrywheel.process.zone_lease import ZoneLease
 from cranberrywheel.process.zone_record import ZoneRecord
@@ -62,7 +62,7 @@
 #: Shortest interval between two writes of the plan and the measured usage.
 PUBLISH_INTERVAL_MS = 60_000
 
-_log = PartLogger("planner")
+_log = ComponentLogger("planner")
 
 
 def wall_clock_ms() -> int:
@@ -82,7 +82,7 @@
         self,
         settings: PlannerSettings,
         client: StoreClient,
-        workers: Workers,
+        workers: WorkerClient,
         clock: Clock | None = None,
         now_wall_ms: t.Callable[[], int] = wall_clock_ms,
     ) -> None:
@@ -97,7 +97,7 @@
             settings.zone, client, self._records, self._lease, self._clock
         )
         self._disruptions = Disruptions(self._records)
-        self._usage = UsageBook()
+        self._usage = UsageEstimator()
         self._configuration: Configuration | None = None
         self._configuration_version = 0
         self._instance_list = InstanceList(0, 0, ())
@@ -182,7 +182,7 @@
 
     def _request_tasks(
         self, names: t.Iterable[str]
-    ) -> dict[str, tuple[TaskRow, ...] | None]:
+    ) -> dict[str, tuple[TaskStatus, ...] | None]:
         """Request the tasks of workers.
 
         :returns: tasks by name, ``None`` for a worker that did not answer. Workers
@@ -220,7 +220,9 @@
                 changes[name] = new_assignment
         self._zone.change(changes)
         self._unresponsive -= changes.keys()
-        self._checkpointed = {k for k in self._checkpointed if k[0] not in changes}
+        self._checkpointed = {
+            task_key for task_key in self._checkpointed if task_key[0] not in changes
+        }
         if changes:
             self._update_disruptions(configuration)
 
@@ -229,7 +231,7 @@
         configuration: Configuration,
         name: str,
         assignment: InstanceAssignment,
-        tasks: tuple[TaskRow, ...] | None,
+        tasks: tuple[TaskStatus, ...] | None,
     ) -> InstanceAssignment | None:
         if (
             assignment.target_pool
@@ -251,25 +253,30 @@
         now_ms = self._now_wall_ms()
         maintained_ms = self._zone.pools.maintained_ms_by_name.get(name, 0)
         due = is_maintenance_due(configuration, maintained_ms, now_ms)
-        report = report_of(configuration, tasks)
+        report = summarize_worker(configuration, tasks)
         return instance_lifecycle.advance(assignment, report, rebooted, due, now_ms)
 
     def _checkpoint_tasks(
-        self, configuration: Configuration, name: str, tasks: tuple[TaskRow, ...]
+        self, configuration: Configuration, name: str, tasks: tuple[TaskStatus, ...]
     ) -> None:
-        addresses = {i.instance_id: i.address for i in self._instance_list.instances}
+        addresses = {
+            instance.instance_id: instance.address
+            for instance in self._instance_list.instances
+        }
         for task in tasks:
             queue = configuration.queues_by_name.get(task.queue)
-            key = (name, task.task_id)
+            task_key = (name, task.task_id)
             if (
                 task.state == "running"
                 and queue
                 and queue.can_checkpoint
-                and key not in self._checkpointed
+                and task_key not in self._checkpointed
             ):
-                self._checkpointed.add(key)
+                self._checkpointed.add(task_key)
                 _log.event(
-                    "checkpointing task for drain", instance=name, request_id=key[1]
+                    "checkpointing task for drain",
+                    instance=name,
+                    request_id=task_key[1],
                 )
                 self._workers.checkpoint(addresses[name], task.task_id)
 
@@ -353,11 +360,14 @@
             self._usage.sample(tasks_by_name)
             self._next_sample_ms = self._clock.now_ms() + SAMPLE_INTERVAL_MS
         reports: dict[str, WorkerReport] = {
-            name: report_of(configuration, tasks)
+            name: summarize_worker(configuration, tasks)
             for name, tasks in tasks_by_name.items()
         }
         now_ms = self._now_wall_ms()
-        pools_by_zone = {z: parse_zone_pools(s.body) for z, s in stored_by_zone.items()}
+        pools_by_zone = {
+            zone: parse_zone_pools(record.body)
+            for zone, record in stored_by_zone.items()
+        }
         pools_by_zone[self._settings.zone] = self._zone.pools
         return build_fleet(
             configuration,
@@ -365,7 +375,9 @@
             self._instance_list,
             now_ms,
             reports,
-            sum_usage(configuration, (s.body for s in usage.values()), now_ms),
+            sum_usage(
+                configuration, (record.body for record in usage.values()), now_ms
+            ),
             out_by_service,
         )
 
@@ -379,5 +391,5 @@
             bodies["usage"] = usage
         for kind, body in bodies.items():
             self._lease.check()
-            key = f"{kind}/{self._settings.zone}"
-            self._records.write(key, body, self._records.read(key))
+            record_key = f"{kind}/{self._settings.zone}"
+            self._records.write(record_key, body, self._records.read(record_key))
--- a/src/cranberrywheel/process/store_reader.py
+++ b/src/cranberrywheel/process/store_reader.py
@@ -9,18 +9,22 @@
 from cranberrywheel.clock import Clock
 from cranberrywheel.connection.store_client import Record, StoreClient
 from cranberrywheel.errors import StoreError, StoreUnavailableError
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.exchange import PeerExchange
 from cranberrywheel.process.membership import (
     ENTRIES_PREFIX,
     Registration,
     parse_registration,
 )
-from cranberrywheel.process.messages import InstancesListed, PoolRow, PoolsChanged
+from cranberrywheel.process.messages import (
+    InstancesListed,
+    PoolAssignment,
+    PoolsChanged,
+)
+from cranberrywheel.process.quota_manager import LIMITS_PREFIX
 from cranberrywheel.process.record_writer import Backoff
-from cranberrywheel.process.unit_keeper import LIMITS_PREFIX
 from cranberrywheel.settings import EntrySettings
-from cranberrywheel.version.adoption import CONFIGURATION_KEY
+from cranberrywheel.version.active_configuration import CONFIGURATION_KEY
 from cranberrywheel.version.records import parse_record
 
 POOLS_PREFIX = "pools/"
@@ -35,7 +39,7 @@
 #: learn of it before they read too.
 READ_JITTER_FRACTION = 0.3
 
-_log = PartLogger("store")
+_log = ComponentLogger("store")
 
 
 class _PoolRowBody(pydantic.BaseModel):
@@ -74,7 +78,8 @@
             "Let the zone's planner write it again.",
         ) from None
     assignments = tuple(
-        PoolRow(worker, row.pool, row.state) for worker, row in body.instances.items()
+        PoolAssignment(worker, row.pool, row.state)
+        for worker, row in body.instances.items()
     )
     zone = record.key.removeprefix(POOLS_PREFIX)
     return PoolsChanged(zone, record.revision, assignments, stored.body)
--- a/src/cranberrywheel/process/store_session.py
+++ b/src/cranberrywheel/process/store_session.py
@@ -14,7 +14,7 @@
     StoreError,
     StoreUnavailableError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.configuration_writer import (
     SHUTTING_DOWN,
     ConfigurationWriter,
@@ -23,16 +23,16 @@
 from cranberrywheel.process.exchange import PeerExchange
 from cranberrywheel.process.membership import ENTRIES_PREFIX, dump_registration
 from cranberrywheel.process.messages import (
-    ApplyText,
-    GrantKey,
-    HoldRenewed,
+    ApplyConfiguration,
+    CreateKey,
+    QuotaDemand,
+    QuotaLeaseRenewed,
+    RevokeKey,
     Stop,
-    UnitsWanted,
-    WithdrawKey,
 )
+from cranberrywheel.process.quota_manager import QuotaManager
 from cranberrywheel.process.record_writer import Backoff, RecordWriter
 from cranberrywheel.process.store_reader import LimitsListed, StoreReader
-from cranberrywheel.process.unit_keeper import UnitKeeper
 from cranberrywheel.settings import EntrySettings, PlatformSettings
 
 #: Longest wait for a message before the session checks for due work.
@@ -42,7 +42,7 @@
 #: Attempts at shutdown to return the quota units if the store does not answer.
 MAX_RETURN_ATTEMPTS = 3
 
-_log = PartLogger("store")
+_log = ComponentLogger("store")
 
 
 class RegistrationLease:
@@ -135,7 +135,7 @@
         peers: PeerExchange,
         make_client: t.Callable[[PlatformSettings], StoreClient] = StoreClient,
     ) -> None:
-        #: Takes ApplyText, GrantKey, WithdrawKey, UnitsWanted and Stop.
+        #: Receives ApplyConfiguration, CreateKey, RevokeKey, QuotaDemand and Stop.
         self.inbox: queue.SimpleQueue[object] = queue.SimpleQueue()
         self._clock = clock
         self._to_dispatcher = to_dispatcher
@@ -149,7 +149,7 @@
         self._configuration_writer = ConfigurationWriter(
             settings, peers, writer, self._random
         )
-        self._quota_manager = UnitKeeper(
+        self._quota_manager = QuotaManager(
             settings.limits,
             peers.registration,
             self._client,
@@ -207,17 +207,19 @@
 
     def _handle(self, message: object) -> None:
         now_ms = self._clock.now_ms()
-        if isinstance(message, ApplyText):
+        if isinstance(message, ApplyConfiguration):
             self._configuration_writer.apply_text(message, now_ms)
-        elif isinstance(message, GrantKey):
+        elif isinstance(message, CreateKey):
             self._configuration_writer.grant_key(message, now_ms)
-        elif isinstance(message, WithdrawKey):
+        elif isinstance(message, RevokeKey):
             registered = self._lease.revision > 0
             self._configuration_writer.revoke_key(message, now_ms, registered)
-        elif isinstance(message, UnitsWanted):
-            self._quota_manager.want(message)
+        elif isinstance(message, QuotaDemand):
+            self._quota_manager.set_demand(message)
         elif isinstance(message, LimitsListed):
-            self._quota_manager.listed(message.records, message.registrations, now_ms)
+            self._quota_manager.update_from_list(
+                message.records, message.registrations, now_ms
+            )
 
     def _do_due_work(self) -> None:
         now_ms = self._clock.now_ms()
@@ -234,7 +236,7 @@
             and now_ms >= self._quota_due_ms
         ):
             self._quota_due_ms = now_ms + QUOTA_INTERVAL_MS
-            self._quota_manager.step(snapshot, now_ms)
+            self._quota_manager.update_units(snapshot, now_ms)
         if store_allowed:
             self._backoff.record_success()
 
@@ -250,22 +252,22 @@
         revision = self._lease.revision
         if self._registered_revision != revision:
             own = dataclasses.replace(self._peers.registration, revision=revision)
-            self._quota_manager.rejoin(own)
+            self._quota_manager.reregister(own)
             self._registered_revision = revision
             renewed = True
             _log.event(
                 "registered in the store", process=own.process_id, revision=revision
             )
         if renewed:
-            self._to_dispatcher(HoldRenewed(self._lease.started_ms))
+            self._to_dispatcher(QuotaLeaseRenewed(self._lease.started_ms))
 
     def _reject_messages(self) -> None:
         while not self.inbox.empty():
             match self.inbox.get():
                 case (
-                    ApplyText(version=future)
-                    | GrantKey(key=future)
-                    | WithdrawKey(result=future)
+                    ApplyConfiguration(version=future)
+                    | CreateKey(key=future)
+                    | RevokeKey(result=future)
                 ):
                     complete_future(future, error=SHUTTING_DOWN)
 
--- a/tests/test_adoption.py
+++ b/tests/test_active_configuration.py
@@ -3,65 +3,72 @@
 
 from cranberrywheel.connection.store_client import Record
 from cranberrywheel.errors import StoreError, UnauthorizedError
-from cranberrywheel.version.adoption import ConfigurationHolder, dump_body
+from cranberrywheel.version.active_configuration import (
+    ActiveConfiguration,
+    build_configuration_body,
+)
 from cranberrywheel.version.configuration import parse_configuration
 from cranberrywheel.version.differences import list_differences
-from cranberrywheel.version.keys import authorize, create_key
+from cranberrywheel.version.keys import authenticate, create_key
 from cranberrywheel.version.records import prepare_write
 
 
-def record(revision, text=TEXT, keys=(), withdrawn=()):
-    body = dump_body(text, 1, {k.key_id: k for k in keys}, withdrawn)
+def make_record(revision, text=TEXT, keys=(), revoked=()):
+    body = build_configuration_body(text, 1, {key.key_id: key for key in keys}, revoked)
     value = prepare_write("configuration", None, "e1", body).value
     return Record("configuration", value, revision)
 
 
-class AdoptionTest(testtools.TestCase):
+class ActiveConfigurationTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.versions = []
-        self.holder = ConfigurationHolder(lambda s: self.versions.append(s.version))
+        self.active = ActiveConfiguration(
+            lambda snapshot: self.versions.append(snapshot.version)
+        )
 
     def test_versions_never_go_back(self):
         """A record that a peer sent late must not undo a newer version."""
-        adopted = [self.holder.adopt(record(r)) for r in (3, 2, 3, 7, 5)]
+        adopted = [
+            self.active.adopt(make_record(revision)) for revision in (3, 2, 3, 7, 5)
+        ]
         self.assertEqual([True, False, False, True, False], adopted)
         self.assertEqual([3, 7], self.versions)
-        self.assertEqual(7, self.holder.record.revision)
+        self.assertEqual(7, self.active.record.revision)
 
     def test_malformed_record_changes_nothing(self):
-        """A bad record must not take the version in force away."""
-        self.holder.adopt(record(3))
-        bad_text = record(4, "no text")
-        self.assertRaises(StoreError, self.holder.adopt, bad_text)
-        self.assertRaises(StoreError, self.holder.adopt, Record("c", "{}", 5))
-        self.assertEqual(3, self.holder.version)
+        """A malformed record must not remove the version in use."""
+        self.active.adopt(make_record(3))
+        bad_text = make_record(4, "no text")
+        self.assertRaises(StoreError, self.active.adopt, bad_text)
+        self.assertRaises(StoreError, self.active.adopt, Record("c", "{}", 5))
+        self.assertEqual(3, self.active.version)
 
-    def test_withdrawn_key_is_not_granted(self):
-        """A key in both lists must count as withdrawn."""
+    def test_revoked_key_is_not_granted(self):
+        """A key in both lists must count as revoked."""
         key, entry = create_key("t")
         other, other_entry = create_key("t")
-        stored = record(1, keys=(entry, other_entry), withdrawn=(entry.key_id,))
-        self.holder.adopt(stored)
-        snapshot = self.holder.snapshot
+        stored = make_record(1, keys=(entry, other_entry), revoked=(entry.key_id,))
+        self.active.adopt(stored)
+        snapshot = self.active.snapshot
         self.assertEqual({other_entry.key_id}, set(snapshot.keys_by_id))
 
-        def check(header, withdrawn=()):
-            return authorize(header, snapshot.keys_by_id, withdrawn)
+        def check(header, revoked=()):
+            return authenticate(header, snapshot.keys_by_id, revoked)
 
         self.assertEqual("t", check(f"Bearer {other}").team)
-        marked = {other_entry.key_id}
-        self.assertRaises(UnauthorizedError, check, f"Bearer {other}", marked)
+        revoked_ids = {other_entry.key_id}
+        self.assertRaises(UnauthorizedError, check, f"Bearer {other}", revoked_ids)
         for header in ("", other, f"Bearer {key}", f"Bearer {other}x", "Bearer ."):
             self.assertRaises(UnauthorizedError, check, header)
 
     def test_stored_record_has_no_secret(self):
-        """Whoever reads the store must not learn usable keys."""
+        """Read access to the store must not reveal usable keys."""
         key, entry = create_key("t")
-        self.assertNotIn(key.split(".")[1], record(1, keys=(entry,)).value)
+        self.assertNotIn(key.split(".")[1], make_record(1, keys=(entry,)).value)
 
     def test_differences_name_what_changed(self):
-        """An operator who lost a race needs them to merge."""
+        """An incomplete list would mislead an operator after a version conflict."""
         old = parse_configuration(TEXT)
         text = TEXT.replace("limit = 12", "limit = 9").replace(", w2@z1/r1", "")
         lines = list_differences(old, parse_configuration(text + "[zone z3]\n"))
--- a/tests/test_store_session_network.py
+++ b/tests/test_store_session_network.py
@@ -5,13 +5,18 @@
 
 import testtools
 from entry_group_fixtures import TEXT
-from test_peer_service import WAIT_S, Peer, free_ports
+from test_peer_service import WAIT_S, Peer, find_free_ports
 from werkzeug.serving import make_server
 
 from cranberrywheel.clock import Clock
 from cranberrywheel.connection.store_client import StoreClient
 from cranberrywheel.errors import StoreConflictError, StoreUnavailableError
-from cranberrywheel.process.messages import ApplyText, GrantKey, Stop, WithdrawKey
+from cranberrywheel.process.messages import (
+    ApplyConfiguration,
+    CreateKey,
+    RevokeKey,
+    Stop,
+)
 from cranberrywheel.process.store_session import StoreSession
 from cranberrywheel.settings import PlatformSettings
 from cranberrywheel_standin.platform import Faults, Platform, PlatformApp
@@ -34,7 +39,9 @@
     def start_entry(self, number, port):
         peer = Peer(number, port, lambda incoming: None)
         settings = dataclasses.replace(peer.settings, platform=self.platform_settings)
-        peer.session = StoreSession(settings, Clock(), peer.dispatch, peer.exchange)
+        peer.session = StoreSession(
+            settings, Clock(), peer.record_report, peer.exchange
+        )
         peer.service.start()
         peer.session.start()
         self.addCleanup(self.stop_entry, peer)
@@ -51,17 +58,17 @@
 
     def test_key_creation_and_revocation_reach_the_other_entry(self):
         """Both must take effect at an entry that did not accept them."""
-        a, b = (self.start_entry(n, p) for n, p in enumerate(free_ports(2)))
-        self.assertEqual(1, self.ask(a, ApplyText, TEXT, 0).result(WAIT_S))
-        key_id = self.ask(b, GrantKey, "t").result(WAIT_S).partition(".")[0]
-        result = self.ask(a, WithdrawKey, key_id).result(WAIT_S)
+        a, b = (self.start_entry(n, p) for n, p in enumerate(find_free_ports(2)))
+        self.assertEqual(1, self.ask(a, ApplyConfiguration, TEXT, 0).result(WAIT_S))
+        key_id = self.ask(b, CreateKey, "t").result(WAIT_S).partition(".")[0]
+        result = self.ask(a, RevokeKey, key_id).result(WAIT_S)
         ids = [a.exchange.process_id, b.exchange.process_id]
         expected = {"stored": True, "confirmed": ids, "unconfirmed": []}
         self.assertEqual(expected, result)
         # A peer confirms with its tombstone or with the stored version. It removes
         # the tombstone only once it has that version, so tombstones are read first.
         revoked_ids = b.exchange.list_unwritten_tombstones()
-        revoked_ids |= b.exchange.holder.snapshot.withdrawn_ids
+        revoked_ids |= b.exchange.holder.snapshot.revoked_key_ids
         self.assertIn(key_id, revoked_ids)
 
     def test_store_client_reports_what_the_platform_answers(self):
