--- a/src/cranberrywheel/process/planner.py
+++ b/src/cranberrywheel/process/planner.py
@@ -137,7 +137,7 @@
                 # Recorded reboots are requested again, so earlier failures to answer
                 # do not show that a reboot has happened.
                 self._unresponsive.clear()
-            self._zone.confirm()
+            self._zone.apply_unconfirmed()
             self._finish_steps(configuration)
             if self._clock.now_ms() >= self._next_plan_ms:
                 self._start_steps(configuration)
@@ -158,7 +158,7 @@
         if not self._lease.is_valid():
             return
         try:
-            self._zone.confirm()
+            self._zone.apply_unconfirmed()
         except (StoreError, LeaseLostError) as error:
             _log.event(
                 "platform did not confirm recorded states; retrying next round",
@@ -218,7 +218,7 @@
             )
             if new_assignment:
                 changes[name] = new_assignment
-        self._zone.change(changes)
+        self._zone.write_changes(changes)
         self._unresponsive -= changes.keys()
         self._checkpointed = {
             task_key for task_key in self._checkpointed if task_key[0] not in changes
@@ -291,7 +291,7 @@
             for name, assignment in assignments.items()
             if assignment.state != InstanceState.SERVING
         }
-        self._lease.check()
+        self._lease.require_valid()
         self._disruptions.change(configuration, out, removed={*assignments, *dropped})
 
     def _start_steps(self, configuration: Configuration) -> None:
@@ -317,9 +317,9 @@
             for name in (*plan.take, *plan.quarantine)
         }
         if claimed:
-            self._lease.check()
+            self._lease.require_valid()
             self._disruptions.change(configuration, claimed)
-        self._zone.change(self._build_changes(plan))
+        self._zone.write_changes(self._build_changes(plan))
         if plan.recall or plan.drop:
             self._update_disruptions(configuration, plan.drop)
         self._publish(fleet.now_ms)
@@ -390,6 +390,6 @@
         if usage := self._usage.to_body(now_ms):
             bodies["usage"] = usage
         for kind, body in bodies.items():
-            self._lease.check()
+            self._lease.require_valid()
             record_key = f"{kind}/{self._settings.zone}"
             self._records.write(record_key, body, self._records.read(record_key))
--- a/src/cranberrywheel/process/zone_lease.py
+++ b/src/cranberrywheel/process/zone_lease.py
@@ -47,7 +47,7 @@
         acting_ms = self._settings.lease_ttl_ms * ACTING_FRACTION
         return self.fence > 0 and age_ms < acting_ms
 
-    def check(self) -> None:
+    def require_valid(self) -> None:
         """Check that the lease is valid.
 
         :raises LeaseLostError: if the planner may not act.
--- a/src/cranberrywheel/process/zone_record.py
+++ b/src/cranberrywheel/process/zone_record.py
@@ -93,12 +93,12 @@
         return is_first
 
     def _write(self, pools: ZonePoolsRecord) -> None:
-        self._lease.check()
+        self._lease.require_valid()
         body = dump_zone_pools(pools)
         self._stored = self._records.write(self._key, body, self._stored)
         self.pools = pools
 
-    def change(
+    def write_changes(
         self, assignments_by_name: t.Mapping[str, InstanceAssignment | None]
     ) -> None:
         """Write new assignments, then apply their states at the platform.
@@ -137,7 +137,7 @@
         )
         for name in assignments_by_name:
             self._confirmed_ms_by_name.pop(name, None)
-        self.confirm()
+        self.apply_unconfirmed()
 
     def confirmation_age_ms(self, name: str) -> int | None:
         """Return the time since the platform confirmed the recorded state.
@@ -147,7 +147,7 @@
         confirmed_ms = self._confirmed_ms_by_name.get(name)
         return None if confirmed_ms is None else self._clock.now_ms() - confirmed_ms
 
-    def confirm(self) -> None:
+    def apply_unconfirmed(self) -> None:
         """Send the platform action of each recorded state that is not confirmed.
 
         :raises LeaseLostError: if the platform has seen a higher fence.
@@ -155,7 +155,7 @@
         for name, assignment in self.pools.assignments_by_name.items():
             if name in self._confirmed_ms_by_name:
                 continue
-            self._lease.check()
+            self._lease.require_valid()
             action = instance_lifecycle.get_platform_action(assignment.state)
             try:
                 accepted = self._client.control_instance(
--- a/src/cranberrywheel_spec/pool_conformance.py
+++ b/src/cranberrywheel_spec/pool_conformance.py
@@ -84,7 +84,7 @@
     def __init__(self, fence: int) -> None:
         self.fence = fence
 
-    def check(self) -> None:
+    def require_valid(self) -> None:
         """Pass: the model decides when a check succeeds."""
 
 
@@ -171,7 +171,7 @@
             self.walk.take(f"planner {p} repeats its call")
         allowed = self._can(name)
         try:
-            zone.confirm()
+            zone.apply_unconfirmed()
         except LeaseLostError:
             assert not allowed
         else:
@@ -224,7 +224,7 @@
         allowed = self._can(name)
         self.client.lost = True
         try:
-            self.planners[p].zone.change({_OWN: row})
+            self.planners[p].zone.write_changes({_OWN: row})
         except StoreConflictError:
             assert not allowed, f"{name} was refused"
             return
@@ -235,7 +235,7 @@
         self.walk.take(name)
         if row.state is InstanceState.EMPTY:
             # The drain of the state before still holds.
-            self.planners[p].zone.confirm()
+            self.planners[p].zone.apply_unconfirmed()
         self._check()
 
     def read_list(self, p: str) -> None:
