--- a/src/cranberrywheel/process/configuration_writer.py
+++ b/src/cranberrywheel/process/configuration_writer.py
@@ -16,7 +16,7 @@
 )
 from cranberrywheel.logs import PartLogger
 from cranberrywheel.process.exchange import PeerExchange
-from cranberrywheel.process.messages import ApplyText, GrantKey, WithdrawKey
+from cranberrywheel.process.messages import ApplyConfiguration, CreateKey, RevokeKey
 from cranberrywheel.process.record_writer import RecordWriter
 from cranberrywheel.settings import EntrySettings
 from cranberrywheel.version.adoption import (
@@ -69,12 +69,12 @@
 
 @dataclasses.dataclass(eq=False)
 class _Revocation:
-    message: WithdrawKey
+    message: RevokeKey
     accepted_ms: int
     deadline_ms: int
 
 
-def make_text_change(message: ApplyText) -> Change:
+def make_text_change(message: ApplyConfiguration) -> Change:
     """Return the change that stores a new configuration text.
 
     :raises ConfigurationError: if the text is invalid.
@@ -105,7 +105,7 @@
     return change
 
 
-def make_key_creation(message: GrantKey) -> Change:
+def make_key_creation(message: CreateKey) -> Change:
     """Return the change that stores a new key."""
     key, new_entry = create_key(message.team)
 
@@ -168,14 +168,14 @@
         self._revocations: list[_Revocation] = []
         self._tombstone_due_ms_by_id: dict[str, int] = {}
 
-    def apply_text(self, message: ApplyText, now_ms: int) -> None:
+    def apply_text(self, message: ApplyConfiguration, now_ms: int) -> None:
         """Queue the write of a new configuration text; refuse an invalid one."""
         try:
             self._enqueue(make_text_change(message), message.version, now_ms)
         except ConfigurationError as error:
             complete_future(message.version, error=error)
 
-    def grant_key(self, message: GrantKey, now_ms: int) -> None:
+    def grant_key(self, message: CreateKey, now_ms: int) -> None:
         """Queue the write of a new key."""
         self._enqueue(make_key_creation(message), message.key, now_ms)
 
@@ -185,7 +185,7 @@
         deadline_ms = now_ms + OPERATION_TIMEOUT_MS
         self._operations.append(_Operation(change, future, deadline_ms))
 
-    def revoke_key(self, message: WithdrawKey, now_ms: int, registered: bool) -> None:
+    def revoke_key(self, message: RevokeKey, now_ms: int, registered: bool) -> None:
         """Revoke a key here at once, then in the store and at the peers.
 
         An unavailable store does not prevent this: the tombstone is written later.
--- a/src/cranberrywheel/process/entry_state.py
+++ b/src/cranberrywheel/process/entry_state.py
@@ -1,4 +1,4 @@
-"""State of one entry process that its dispatcher task owns."""
+"""State of one entry process, owned by its dispatcher task."""
 
 import dataclasses
 import random
@@ -7,11 +7,11 @@
 from concurrent.futures import Future
 
 from cranberrywheel.clock import Clock
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.process.fleet_view import FleetView
-from cranberrywheel.process.limit_units import UnitLedger
 from cranberrywheel.process.metrics import Metrics
 from cranberrywheel.process.pending import Forward, PendingRequests
+from cranberrywheel.process.quota_units import QuotaLedger
 from cranberrywheel.process.timers import Timers
 from cranberrywheel.process.worker_table import WorkerTable
 from cranberrywheel.request.estimates import RunTimeEstimates
@@ -26,30 +26,32 @@
 
 @dataclasses.dataclass(frozen=True)
 class Links:
-    """How the dispatcher reaches the other tasks.
+    """Functions with which the dispatcher sends messages to other tasks.
 
-    :param to_targets: posts to the target client.
-    :param to_store: posts to the store session.
-    :param to_peers: posts to the peer service.
-    :param to_self: posts to the dispatcher itself.
-    :param forward: sends a request to a peer: (peer address, request, timeout).
+    :param to_targets: sends a message to the target client.
+    :param to_store: sends a message to the store session.
+    :param to_peers: sends a load report to the peer service.
+    :param to_self: sends a message to the dispatcher itself.
+    :param forward: forwards a request to a peer; takes the peer's address, the
+        request and a timeout in milliseconds.
     """
 
     to_targets: t.Callable[[t.Any], None]
     to_store: t.Callable[[t.Any], None]
     to_peers: t.Callable[[t.Any], None]
     to_self: t.Callable[[t.Any], None]
-    forward: t.Callable[[str, m.IncomingRequest, int], "Future[Answer]"]
+    forward: t.Callable[[str, messages.IncomingRequest, int], "Future[Answer]"]
 
 
 @dataclasses.dataclass(kw_only=True)
 class EntryState:
-    """Everything that the dispatcher task decides on.
+    """All data on which the dispatcher task bases its decisions.
 
-    :param snapshot: the configuration in force, or ``None`` before the first.
-    :param marked_ids: keys withdrawn since that version was written.
-    :param drained: whether the process has finished its last request before a
-        stop; it accepts none from then on.
+    :param snapshot: configuration in force, or ``None`` before the first one.
+    :param drained: whether a stop was requested and the last request has finished;
+        no request is accepted from then on.
+    :param revoked_key_ids: keys revoked since the snapshot was written.
+    :param forwards_by_id: requests that a peer handles, by request id.
     """
 
     settings: EntrySettings
@@ -57,14 +59,14 @@
     clock: Clock
     links: Links
     rng: random.Random
-    ledger: UnitLedger
+    ledger: QuotaLedger
     workers: WorkerTable
     fleet: FleetView
     tickets: TicketBook
     metrics: Metrics
     snapshot: ConfigurationSnapshot | None = None
     drained: bool = False
-    marked_ids: set[str] = dataclasses.field(default_factory=set)
+    revoked_key_ids: set[str] = dataclasses.field(default_factory=set)
     freshness: FreshnessTracker = dataclasses.field(default_factory=FreshnessTracker)
     timers: Timers = dataclasses.field(default_factory=Timers)
     estimates: RunTimeEstimates = dataclasses.field(default_factory=RunTimeEstimates)
@@ -83,8 +85,8 @@
 ) -> EntryState:
     """Create the state of a process that has just started.
 
-    :param process_id: id of this process; names it in tickets.
-    :param links: the other tasks.
+    :param process_id: id of this process; it becomes part of its tickets.
+    :param links: functions that reach the other tasks.
     :param rng: source of all random choices.
     """
     workers = WorkerTable(settings.zone, rng)
@@ -94,7 +96,7 @@
         clock=clock,
         links=links,
         rng=rng,
-        ledger=UnitLedger(settings.limits),
+        ledger=QuotaLedger(settings.limits),
         workers=workers,
         fleet=FleetView(process_id, workers),
         metrics=Metrics(settings.statsd_host, settings.statsd_port),
--- a/src/cranberrywheel/process/exchange.py
+++ b/src/cranberrywheel/process/exchange.py
@@ -22,12 +22,12 @@
 )
 from cranberrywheel.process.messages import (
     ConfigurationAdopted,
+    FreshnessProven,
+    KeyRevoked,
     LoadReport,
-    MarkWithdrawn,
     PeerLoad,
     PeerLost,
     PeerReport,
-    ProofTaken,
 )
 from cranberrywheel.settings import EntrySettings
 from cranberrywheel.version.adoption import ConfigurationHolder
@@ -180,7 +180,7 @@
         """
         with self._lock:
             if self._proof.proven(taken_ms):
-                self._to_dispatcher(ProofTaken(taken_ms))
+                self._to_dispatcher(FreshnessProven(taken_ms))
 
     def _is_store_down(self) -> bool:
         """Tell whether no entry is known to have read the store recently.
@@ -201,7 +201,7 @@
             if snapshot is not None and key_id in snapshot.withdrawn_ids:
                 return
             self._tombstones.add(key_id)
-            self._to_dispatcher(MarkWithdrawn(key_id))
+            self._to_dispatcher(KeyRevoked(key_id))
         _log.event("key revoked here; writing it to the store later", key_id=key_id)
 
     def list_unwritten_tombstones(self) -> set[str]:
--- a/src/cranberrywheel/process/store_reader.py
+++ b/src/cranberrywheel/process/store_reader.py
@@ -16,9 +16,13 @@
     Registration,
     parse_registration,
 )
-from cranberrywheel.process.messages import InstancesListed, PoolRow, PoolsChanged
+from cranberrywheel.process.messages import (
+    InstancesListed,
+    PoolAssignment,
+    PoolsChanged,
+)
+from cranberrywheel.process.quota_manager import LIMITS_PREFIX
 from cranberrywheel.process.record_writer import Backoff
-from cranberrywheel.process.unit_keeper import LIMITS_PREFIX
 from cranberrywheel.settings import EntrySettings
 from cranberrywheel.version.adoption import CONFIGURATION_KEY
 from cranberrywheel.version.records import parse_record
@@ -74,7 +78,8 @@
             "Let the zone's planner write it again.",
         ) from None
     assignments = tuple(
-        PoolRow(worker, row.pool, row.state) for worker, row in body.instances.items()
+        PoolAssignment(worker, row.pool, row.state)
+        for worker, row in body.instances.items()
     )
     zone = record.key.removeprefix(POOLS_PREFIX)
     return PoolsChanged(zone, record.revision, assignments, stored.body)
