--- a/src/cranberrywheel/process/configuration_writer.py
+++ b/src/cranberrywheel/process/configuration_writer.py
@@ -168,14 +168,14 @@
         self._revocations: list[_Revocation] = []
         self._tombstone_due_ms_by_id: dict[str, int] = {}
 
-    def apply_text(self, message: ApplyConfiguration, now_ms: int) -> None:
+    def apply_configuration(self, message: ApplyConfiguration, now_ms: int) -> None:
         """Queue the write of a new configuration text; refuse an invalid one."""
         try:
             self._enqueue(make_text_change(message), message.version, now_ms)
         except ConfigurationError as error:
             complete_future(message.version, error=error)
 
-    def grant_key(self, message: CreateKey, now_ms: int) -> None:
+    def create_key(self, message: CreateKey, now_ms: int) -> None:
         """Queue the write of a new key."""
         self._enqueue(make_key_creation(message), message.key, now_ms)
 
--- a/src/cranberrywheel/process/exchange.py
+++ b/src/cranberrywheel/process/exchange.py
@@ -156,14 +156,14 @@
         with self._lock:
             self._membership.set_instances(listed)
 
-    def record_store_read(self, taken_ms: int) -> None:
+    def record_store_read(self, sent_ms: int) -> None:
         """Record that the configuration was read from the store and adopted.
 
-        :param taken_ms: own clock reading before the read was sent.
+        :param sent_ms: own clock reading before the read was sent.
         """
         with self._lock:
-            self._store_read.proven(taken_ms)
-        self._record_proof(taken_ms)
+            self._store_read.proven(sent_ms)
+        self._record_proof(sent_ms)
 
     def store_read_age_ms(self) -> int | None:
         """Return the age of the newest store read by this entry or a peer.
@@ -173,14 +173,14 @@
         with self._lock:
             return self._store_read.age_ms(self._clock.now_ms())
 
-    def _record_proof(self, taken_ms: int) -> None:
+    def _record_proof(self, proven_ms: int) -> None:
         """Record that every key revocation accepted up to a time is known here.
 
-        :param taken_ms: own clock reading.
+        :param proven_ms: own clock reading.
         """
         with self._lock:
-            if self._proof.proven(taken_ms):
-                self._to_dispatcher(FreshnessProven(taken_ms))
+            if self._proof.proven(proven_ms):
+                self._to_dispatcher(FreshnessProven(proven_ms))
 
     def _is_store_down(self) -> bool:
         """Tell whether no entry is known to have read the store recently.
--- a/src/cranberrywheel/process/fleet_view.py
+++ b/src/cranberrywheel/process/fleet_view.py
@@ -23,7 +23,7 @@
         self._workers = workers
         self._configuration: Configuration | None = None
         self._revision_by_zone: dict[str, int] = {}
-        self._rows_by_zone: dict[str, tuple[messages.PoolAssignment, ...]] = {}
+        self._assignments_by_zone: dict[str, tuple[messages.PoolAssignment, ...]] = {}
         self._bodies_by_zone: dict[str, dict[str, t.Any]] = {}
         self._instance_list = InstanceList(0, 0, ())
         self._instances_by_id: dict[str, Instance] = {}
@@ -56,7 +56,7 @@
         if message.revision <= self._revision_by_zone.get(zone, 0):
             return
         self._revision_by_zone[zone] = message.revision
-        self._rows_by_zone[zone] = message.rows
+        self._assignments_by_zone[zone] = message.rows
         self._bodies_by_zone[zone] = message.body
         self._refresh_workers()
 
@@ -88,39 +88,41 @@
     def _list_assignments(self) -> dict[str, messages.PoolAssignment]:
         """Return pool and state by worker, from pool records or else as declared."""
         assert self._configuration is not None
-        rows = {
+        assignments = {
             worker.name: messages.PoolAssignment(worker.name, worker.pool, SERVING)
             for worker in self._configuration.workers_by_name.values()
-            if worker.zone not in self._rows_by_zone
+            if worker.zone not in self._assignments_by_zone
         }
-        for zone_rows in self._rows_by_zone.values():
-            rows.update({row.worker: row for row in zone_rows})
-        return rows
+        for zone_assignments in self._assignments_by_zone.values():
+            assignments.update(
+                {assignment.worker: assignment for assignment in zone_assignments}
+            )
+        return assignments
 
     def _refresh_workers(self) -> None:
         if self._configuration is None:
             return
         rows = []
         slots_by_pool: dict[str, int] = {}
-        for row in self._list_assignments().values():
-            instance = self._instances_by_id.get(row.worker)
-            pool = self._configuration.pools_by_name.get(row.pool)
+        for assignment in self._list_assignments().values():
+            instance = self._instances_by_id.get(assignment.worker)
+            pool = self._configuration.pools_by_name.get(assignment.pool)
             if instance is None or pool is None:
                 continue
             rows.append(
                 WorkerRow(
-                    name=row.worker,
+                    name=assignment.worker,
                     address=instance.address,
                     zone=instance.zone,
                     rack=instance.rack,
-                    pool=row.pool,
+                    pool=assignment.pool,
                     slots=pool.slots_per_executor,
-                    serving=row.state == SERVING,
+                    serving=assignment.state == SERVING,
                 )
             )
-            if row.state == SERVING:
-                slots = slots_by_pool.get(row.pool, 0)
-                slots_by_pool[row.pool] = slots + pool.slots_per_executor
+            if assignment.state == SERVING:
+                slots = slots_by_pool.get(assignment.pool, 0)
+                slots_by_pool[assignment.pool] = slots + pool.slots_per_executor
         self._slots_by_pool = slots_by_pool
         self._workers.set_workers(rows)
         self._update_leaving()
@@ -243,10 +245,10 @@
         """Return the number of workers by pool and state as JSON-ready values."""
         status: dict[str, dict[str, int]] = {}
         if self._configuration is not None:
-            for row in self._list_assignments().values():
-                states = status.setdefault(row.pool, {})
-                is_listed = row.worker in self._instances_by_id
-                state = row.state if is_listed else "unlisted"
+            for assignment in self._list_assignments().values():
+                states = status.setdefault(assignment.pool, {})
+                is_listed = assignment.worker in self._instances_by_id
+                state = assignment.state if is_listed else "unlisted"
                 states[state] = states.get(state, 0) + 1
         return status
 
--- a/src/cranberrywheel/process/store_session.py
+++ b/src/cranberrywheel/process/store_session.py
@@ -208,9 +208,9 @@
     def _handle(self, message: object) -> None:
         now_ms = self._clock.now_ms()
         if isinstance(message, ApplyConfiguration):
-            self._configuration_writer.apply_text(message, now_ms)
+            self._configuration_writer.apply_configuration(message, now_ms)
         elif isinstance(message, CreateKey):
-            self._configuration_writer.grant_key(message, now_ms)
+            self._configuration_writer.create_key(message, now_ms)
         elif isinstance(message, RevokeKey):
             registered = self._lease.revision > 0
             self._configuration_writer.revoke_key(message, now_ms, registered)
