--- a/src/cranberrywheel/node/leader.py
+++ b/src/cranberrywheel/node/leader.py
@@ -5,7 +5,7 @@
 import typing as t
 
 from cranberrywheel.connection.http_loop import HttpLoop
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.node.keys import (
     CANCEL_SUFFIX,
     EXECUTOR_PREFIX,
@@ -69,7 +69,7 @@
 #: Concurrent start calls to one executor; each needs its own connection.
 MAX_CONCURRENT_STARTS = 2
 
-_log = PartLogger("leader")
+_log = ComponentLogger("leader")
 
 
 def unix_ms() -> int:
--- a/src/cranberrywheel/node/leadership.py
+++ b/src/cranberrywheel/node/leadership.py
@@ -5,7 +5,7 @@
 import typing as t
 
 from cranberrywheel.connection.http_loop import HttpLoop
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.node.keys import HANDOVER_KEY, LEADER_KEY, TERM_KEY
 from cranberrywheel.node.watch import PrefixWatch
 from cranberrywheel.platform.store import Item, Outcome, Store, StoreReply, Write
@@ -45,7 +45,7 @@
 #: Interval between attempts to acquire the leadership.
 ACQUIRE_RETRY_MS = 200
 
-_log = PartLogger("leadership")
+_log = ComponentLogger("leadership")
 
 
 def scheduling_capacity(cores: float, link_mbps: float) -> float:
--- a/src/cranberrywheel/process/attempt_manager.py
+++ b/src/cranberrywheel/process/attempt_manager.py
@@ -5,8 +5,8 @@
 
 from cranberrywheel.clock import Clock
 from cranberrywheel.connection.target_messages import (
-    AttemptEnd,
     AttemptFinished,
+    AttemptOutcome,
     ControlFinished,
     ControlTask,
     FetchToken,
@@ -17,13 +17,13 @@
     TokenFetched,
     UsageFetched,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.attempt import Attempt, AttemptResult, AttemptState
 from cranberrywheel.process.quota_units import QuotaLedger
 from cranberrywheel.process.timers import Timers
 from cranberrywheel.process.worker_table import AttemptVerdict, WorkerRow, WorkerTable
 from cranberrywheel.request.model import Request
-from cranberrywheel.settings import LimitSettings
+from cranberrywheel.settings import QuotaSettings
 from cranberrywheel.version.configuration import Queue
 
 #: Delay before the stop or the query of a task is sent again.
@@ -33,7 +33,7 @@
 #: Renewals sent within the duration of one task lease.
 RENEWALS_PER_LEASE = 3
 
-_log = PartLogger("attempts")
+_log = ComponentLogger("attempts")
 
 
 class AttemptManager:
@@ -47,7 +47,7 @@
     def __init__(
         self,
         clock: Clock,
-        settings: LimitSettings,
+        settings: QuotaSettings,
         ledger: QuotaLedger,
         workers: WorkerTable,
         timers: Timers,
@@ -134,7 +134,9 @@
         request = attempt.request
         if request.team and not self._ledger.has_valid_unit(attempt.task_id, now_ms):
             self._end(attempt, AttemptVerdict.REFUSED)
-            self._report(attempt, AttemptEnd.NOT_SENT, detail="the quota unit expired")
+            self._report(
+                attempt, AttemptOutcome.NOT_SENT, detail="the quota unit expired"
+            )
             return True
         attempt.state = AttemptState.RUNNING
         attempt.sent_ms = attempt.lease_sent_ms = now_ms
@@ -163,13 +165,13 @@
     def handle_token_fetched(self, message: TokenFetched) -> None:
         """Start the attempts that waited for this start token."""
         if message.token:
-            self._workers.set_token(message.worker, message.token, message.asked_ms)
+            self._workers.set_token(message.worker, message.token, message.requested_ms)
         for task_id in self._awaiting_token_by_worker.pop(message.worker, []):
             attempt = self._attempts_by_task.get(task_id)
             if attempt is None or self._send(attempt):
                 continue
             self._end(attempt, AttemptVerdict.UNREACHABLE)
-            self._report(attempt, AttemptEnd.NOT_SENT, detail="no start token")
+            self._report(attempt, AttemptOutcome.NOT_SENT, detail="no start token")
 
     def handle_attempt_finished(self, message: AttemptFinished) -> None:
         """Handle the answer to an attempt, or the loss of its connection."""
@@ -182,13 +184,13 @@
             self._workers.set_token(
                 message.worker, message.next_token, self._clock.now_ms()
             )
-        if message.end is AttemptEnd.BROKEN:
+        if message.outcome is AttemptOutcome.NO_USABLE_ANSWER:
             self._handle_broken_connection(attempt, message)
             return
         self._end(attempt, _to_verdict(message))
         self._report(
             attempt,
-            message.end,
+            message.outcome,
             kind=message.kind,
             detail=message.detail,
             body=message.body,
@@ -207,7 +209,7 @@
             self._send_query(attempt)
         self._report(
             attempt,
-            AttemptEnd.BROKEN,
+            AttemptOutcome.NO_USABLE_ANSWER,
             kind=message.kind,
             detail=message.detail,
             last=False,
@@ -220,7 +222,7 @@
             return
         if attempt.state is AttemptState.NEEDS_TOKEN:
             self._end(attempt, AttemptVerdict.CANCELLED)
-            self._report(attempt, AttemptEnd.NOT_SENT, detail="cancelled")
+            self._report(attempt, AttemptOutcome.NOT_SENT, detail="cancelled")
             return
         attempt.state = AttemptState.STOPPING
         self._send_control(attempt, "stop")
@@ -259,14 +261,14 @@
         token_expired = (
             self._clock.now_ms() - attempt.sent_ms > self._max_token_age_ms()
         )
-        if message.confirmed or (message.gone and token_expired):
+        if message.confirmed or (message.task_unknown and token_expired):
             self._end(attempt, AttemptVerdict.CANCELLED)
             _log.event(
                 "task is stopped",
                 request_id=attempt.task_id,
                 worker=attempt.worker.name,
             )
-            self._report(attempt, AttemptEnd.BROKEN, detail="stopped")
+            self._report(attempt, AttemptOutcome.NO_USABLE_ANSWER, detail="stopped")
             return
         self._schedule_retry(attempt, lambda: self._send_control(attempt, "stop"))
 
@@ -282,7 +284,7 @@
             )
             self._report(
                 attempt,
-                AttemptEnd.RAN if succeeded else AttemptEnd.FAILED,
+                AttemptOutcome.RAN if succeeded else AttemptOutcome.FAILED,
                 detail="the result was queried after the connection broke",
                 body=message.body,
                 content_type=message.content_type,
@@ -290,7 +292,9 @@
         elif message.state == "stopped":
             self._end(attempt, AttemptVerdict.UNREACHABLE)
             self._report(
-                attempt, AttemptEnd.BROKEN, detail="the worker stopped the task"
+                attempt,
+                AttemptOutcome.NO_USABLE_ANSWER,
+                detail="the worker stopped the task",
             )
         else:
             if message.state == "running":
@@ -347,7 +351,9 @@
             if lease_age_ms > expiry_ms:
                 self._end(attempt, AttemptVerdict.UNREACHABLE)
                 self._report(
-                    attempt, AttemptEnd.BROKEN, detail="the task lease expired"
+                    attempt,
+                    AttemptOutcome.NO_USABLE_ANSWER,
+                    detail="the task lease expired",
                 )
 
     def _renew_lease(self, attempt: Attempt, now_ms: int) -> None:
@@ -388,17 +394,17 @@
         if attempt.request.team:
             self._ledger.free_unit(attempt.task_id)
 
-    def _report(self, attempt: Attempt, end: AttemptEnd, **fields: t.Any) -> None:
+    def _report(self, attempt: Attempt, end: AttemptOutcome, **fields: t.Any) -> None:
         self._on_result(AttemptResult(attempt=attempt, end=end, **fields))
 
 
 def _to_verdict(message: AttemptFinished) -> AttemptVerdict:
-    if message.end is AttemptEnd.RAN:
+    if message.outcome is AttemptOutcome.RAN:
         return AttemptVerdict.OK
-    if message.end is AttemptEnd.FAILED:
+    if message.outcome is AttemptOutcome.FAILED:
         return AttemptVerdict.FAILED
-    if message.end is AttemptEnd.STOPPED:
+    if message.outcome is AttemptOutcome.STOPPED:
         return AttemptVerdict.CANCELLED
-    if message.end is AttemptEnd.NOT_SENT:
+    if message.outcome is AttemptOutcome.NOT_SENT:
         return AttemptVerdict.UNREACHABLE
     return AttemptVerdict.REFUSED
--- a/src/cranberrywheel/process/caller_api.py
+++ b/src/cranberrywheel/process/caller_api.py
@@ -10,7 +10,7 @@
 import werkzeug
 from werkzeug.exceptions import HTTPException, RequestEntityTooLarge
 
-from cranberrywheel.connection.http_server import HangupWatcher
+from cranberrywheel.connection.http_server import DisconnectWatcher
 from cranberrywheel.errors import (
     CranberrywheelError,
     MalformedRequestError,
@@ -20,7 +20,7 @@
 )
 from cranberrywheel.process import messages
 from cranberrywheel.request.model import Answer, Outcome
-from cranberrywheel.request.problem import problem_answer
+from cranberrywheel.request.problem import build_problem_answer
 from cranberrywheel.settings import EntrySettings
 
 #: Longest wait for an answer that the dispatcher gives without running a request.
@@ -66,7 +66,7 @@
         self._post = post
         self._is_ready = is_ready
         self._fallback = fallback
-        self._hangup_watcher = HangupWatcher()
+        self._hangup_watcher = DisconnectWatcher()
 
     def __call__(self, environ: t.Any, start_response: t.Any) -> t.Any:
         request = werkzeug.Request(environ)
@@ -83,16 +83,16 @@
                 f"The body has more than {self._settings.max_body_bytes} bytes.",
                 "Send a smaller body.",
             )
-            response = to_response(problem_answer(request_id, error, outcome))
+            response = to_response(build_problem_answer(request_id, error, outcome))
             response.headers["Connection"] = "close"
         except HTTPException as failure:
             error = MalformedRequestError(
                 f"The request could not be read: {failure.description}",
                 "Send a valid HTTP request.",
             )
-            response = to_response(problem_answer(request_id, error, outcome))
+            response = to_response(build_problem_answer(request_id, error, outcome))
         except CranberrywheelError as error:
-            response = to_response(problem_answer(request_id, error, outcome))
+            response = to_response(build_problem_answer(request_id, error, outcome))
         if not self._is_ready():
             response.headers["Connection"] = "close"
         return response(environ, start_response)
@@ -163,7 +163,7 @@
                 f"The request got no answer within {MAX_REQUEST_WAIT_S} s.",
                 "Retry it with its ticket.",
             )
-            return problem_answer(incoming.request_id, error)
+            return build_problem_answer(incoming.request_id, error)
         finally:
             if connection is not None:
                 self._hangup_watcher.unwatch(connection)
--- a/src/cranberrywheel/process/configuration_writer.py
+++ b/src/cranberrywheel/process/configuration_writer.py
@@ -14,14 +14,14 @@
     StoreUnavailableError,
     VersionConflictError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.exchange import PeerExchange
 from cranberrywheel.process.messages import ApplyConfiguration, CreateKey, RevokeKey
 from cranberrywheel.process.record_writer import RecordWriter
 from cranberrywheel.settings import EntrySettings
-from cranberrywheel.version.adoption import (
+from cranberrywheel.version.active_configuration import (
     CONFIGURATION_KEY,
-    dump_body,
+    build_configuration_body,
     read_snapshot,
 )
 from cranberrywheel.version.configuration import parse_configuration
@@ -43,7 +43,7 @@
 
 #: Computes the new body and the operator's result from the present record.
 Change = t.Callable[[StoredRecord | None], tuple[dict[str, t.Any], t.Any]]
-_log = PartLogger("configuration")
+_log = ComponentLogger("configuration")
 
 
 def complete_future(
@@ -98,7 +98,7 @@
             )
         keys = snapshot.keys_by_id if snapshot else {}
         revoked_ids = stored.body.get("withdrawn", []) if stored else []
-        return dump_body(
+        return build_configuration_body(
             message.text, current_version + 1, keys, revoked_ids
         ), current_version + 1
 
@@ -118,7 +118,9 @@
             )
         keys = {**snapshot.keys_by_id, new_entry.key_id: new_entry}
         revoked_ids = stored.body.get("withdrawn", []) if stored else []
-        return dump_body(snapshot.text, snapshot.text_version, keys, revoked_ids), key
+        return build_configuration_body(
+            snapshot.text, snapshot.text_version, keys, revoked_ids
+        ), key
 
     return change
 
@@ -137,7 +139,9 @@
         }
         revoked_ids = list(stored.body.get("withdrawn", []))
         revoked_ids += sorted(key_id for key_id in key_ids if key_id not in revoked_ids)
-        return dump_body(snapshot.text, snapshot.text_version, keys, revoked_ids), None
+        return build_configuration_body(
+            snapshot.text, snapshot.text_version, keys, revoked_ids
+        ), None
 
     return change
 
@@ -217,7 +221,7 @@
         snapshot = self._peers.holder.snapshot
         if snapshot is None or key_id not in {
             *snapshot.keys_by_id,
-            *snapshot.withdrawn_ids,
+            *snapshot.revoked_key_ids,
         }:
             # Another entry may have created it a moment ago.
             try:
@@ -226,7 +230,7 @@
                 return True
             snapshot = read_snapshot(stored) if stored else None
         return snapshot is not None and (
-            key_id in snapshot.keys_by_id or key_id in snapshot.withdrawn_ids
+            key_id in snapshot.keys_by_id or key_id in snapshot.revoked_key_ids
         )
 
     def step(self, now_ms: int, store_allowed: bool) -> None:
@@ -353,7 +357,7 @@
         snapshot = self._peers.holder.snapshot
         for revocation in list(self._revocations):
             key_id = revocation.message.key_id
-            stored = snapshot is not None and key_id in snapshot.withdrawn_ids
+            stored = snapshot is not None and key_id in snapshot.revoked_key_ids
             confirmed, unconfirmed = self._peers.list_confirmations(key_id)
             # An older roster may lack an entry that accepts the key.
             roster_is_current = self._peers.has_roster_since(revocation.accepted_ms)
--- a/src/cranberrywheel/process/dispatcher.py
+++ b/src/cranberrywheel/process/dispatcher.py
@@ -5,7 +5,7 @@
 import typing as t
 
 from cranberrywheel.connection import target_messages
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process import messages
 from cranberrywheel.process.entry_state import EntryState
 from cranberrywheel.process.long_waits import forward_to_idle_peers, preempt_for_urgent
@@ -19,7 +19,7 @@
 #: Messages handled at most before due timers run.
 MAX_MESSAGES_PER_ITERATION = 200
 
-_log = PartLogger("dispatcher")
+_log = ComponentLogger("dispatcher")
 
 
 class Dispatcher:
@@ -64,7 +64,9 @@
                 state.fleet.describe()
             ),
             messages.ConfigurationAdopted: self._adopt_configuration,
-            messages.FreshnessProven: lambda msg: state.freshness.proven(msg.proven_ms),
+            messages.FreshnessProven: lambda msg: state.freshness.record_proof(
+                msg.proven_ms
+            ),
             messages.KeyRevoked: lambda msg: state.revoked_key_ids.add(msg.key_id),
             messages.PoolsChanged: state.fleet.set_pools,
             messages.InstancesListed: lambda msg: state.fleet.set_instances(msg.listed),
@@ -159,7 +161,7 @@
     def _export_results(self, message: messages.ExportResults) -> None:
         tickets = self._state.tickets
         own = (self._state.process_id, tickets.export_results(self._now_ms()))
-        message.exports.set_result([own, *tickets.export_handed_over()])
+        message.exports.set_result([own, *tickets.export_imported_results()])
 
     def _import_results(self, message: messages.ResultsHandedOver) -> None:
         self._state.tickets.import_results(message.process_id, message.export)
--- a/src/cranberrywheel/process/exchange.py
+++ b/src/cranberrywheel/process/exchange.py
@@ -13,7 +13,7 @@
 from cranberrywheel.connection.store_client import InstanceList, Record
 from cranberrywheel.errors import PeerError, StoreError
 from cranberrywheel.generated.peer_pb2 import ConfigurationRecord, PeerState
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.membership import (
     Membership,
     Registration,
@@ -30,7 +30,7 @@
     PeerReport,
 )
 from cranberrywheel.settings import EntrySettings
-from cranberrywheel.version.adoption import ConfigurationHolder
+from cranberrywheel.version.active_configuration import ActiveConfiguration
 from cranberrywheel.version.freshness import FreshnessTracker
 from cranberrywheel.version.snapshot import ConfigurationSnapshot
 
@@ -45,7 +45,7 @@
 STORE_DOWN_FRACTION = 0.75
 _NAME = re.compile(r"[A-Za-z0-9_.:-]{1,200}")
 
-_log = PartLogger("exchange")
+_log = ComponentLogger("exchange")
 
 
 def check_names(names: t.Iterable[str]) -> None:
@@ -115,7 +115,7 @@
     ) -> None:
         self.process_id = process_id
         self.registration = build_own_registration(settings, process_id)
-        self.holder = ConfigurationHolder(self._on_adopted)
+        self.holder = ActiveConfiguration(self._on_adopted)
         self._settings = settings
         self._clock = clock
         self._to_dispatcher = to_dispatcher
@@ -162,7 +162,7 @@
         :param sent_ms: own clock reading before the read was sent.
         """
         with self._lock:
-            self._store_read.proven(sent_ms)
+            self._store_read.record_proof(sent_ms)
         self._record_proof(sent_ms)
 
     def store_read_age_ms(self) -> int | None:
@@ -179,7 +179,7 @@
         :param proven_ms: own clock reading.
         """
         with self._lock:
-            if self._proof.proven(proven_ms):
+            if self._proof.record_proof(proven_ms):
                 self._to_dispatcher(FreshnessProven(proven_ms))
 
     def _is_store_down(self) -> bool:
@@ -198,7 +198,7 @@
         with self._lock:
             if key_id in self._tombstones:
                 return
-            if snapshot is not None and key_id in snapshot.withdrawn_ids:
+            if snapshot is not None and key_id in snapshot.revoked_key_ids:
                 return
             self._tombstones.add(key_id)
             self._to_dispatcher(KeyRevoked(key_id))
@@ -209,7 +209,7 @@
         snapshot = self.holder.snapshot
         with self._lock:
             if snapshot is not None:
-                self._tombstones -= snapshot.withdrawn_ids
+                self._tombstones -= snapshot.revoked_key_ids
             return set(self._tombstones)
 
     def list_confirmations(self, key_id: str) -> tuple[list[str], list[str]]:
@@ -219,7 +219,7 @@
             processes that did not.
         """
         snapshot = self.holder.snapshot
-        is_stored = snapshot is not None and key_id in snapshot.withdrawn_ids
+        is_stored = snapshot is not None and key_id in snapshot.revoked_key_ids
         confirmed, unconfirmed = [self.process_id], []
         with self._lock:
             for peer in self._membership.peers():
@@ -336,7 +336,7 @@
                         word.process_id, sent_ms - word.age_ms
                     )
             if state.has_store_read:
-                self._store_read.proven(sent_ms - state.store_read_age_ms)
+                self._store_read.record_proof(sent_ms - state.store_read_age_ms)
             known_until_ms = None
             if self._is_store_down():
                 known_until_ms = self._membership.known_until_ms()
--- a/src/cranberrywheel/process/long_waits.py
+++ b/src/cranberrywheel/process/long_waits.py
@@ -1,18 +1,18 @@
 """Helps requests that wait too long: preempts other tasks or forwards to a peer."""
 
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.attempt import Attempt, AttemptState
 from cranberrywheel.process.attempt_manager import AttemptManager
 from cranberrywheel.process.entry_state import EntryState
 from cranberrywheel.process.request_handler import RequestHandler
-from cranberrywheel.request.displacement import RunningTask, choose_displaced
+from cranberrywheel.request.preemption import RunningTask, select_tasks_to_preempt
 
 #: Urgent work must start within 1.5 s, and a checkpoint takes part of that time.
 URGENT_WAIT_MS = 500
 #: A unit of this process is usually freed sooner than this.
 UNIT_WAIT_MS = 200
 
-_log = PartLogger("relief")
+_log = ComponentLogger("relief")
 
 
 def _to_running_task(attempt: Attempt) -> RunningTask:
@@ -22,7 +22,7 @@
         can_checkpoint=attempt.queue.can_checkpoint,
         can_throttle=False,
         expected_end_ms=round(attempt.created_ms + attempt.expected_ms),
-        displaced=attempt.preempted,
+        preempted=attempt.preempted,
     )
 
 
@@ -47,7 +47,7 @@
             for attempt in attempt_manager.list_running()
             if attempt.worker.pool == pool and attempt.state is AttemptState.RUNNING
         ]
-        for task_id in choose_displaced(running, waiting, now_ms):
+        for task_id in select_tasks_to_preempt(running, waiting, now_ms):
             attempt = attempt_manager.find(task_id)
             if attempt is not None:
                 attempt.preempted = True
--- a/src/cranberrywheel/process/placement.py
+++ b/src/cranberrywheel/process/placement.py
@@ -1,27 +1,27 @@
 """Starts queued requests on workers, and handles their results and retries."""
 
 from cranberrywheel.connection.target_client import CHECKPOINTED_KIND
-from cranberrywheel.connection.target_messages import AttemptEnd
+from cranberrywheel.connection.target_messages import AttemptOutcome
 from cranberrywheel.errors import (
     NeverFitsError,
     OverloadedError,
     TargetFailedError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.attempt import AttemptResult
 from cranberrywheel.process.attempt_manager import AttemptManager
 from cranberrywheel.process.entry_state import EntryState
 from cranberrywheel.process.pending import PendingRequest
 from cranberrywheel.process.request_handler import RequestHandler
 from cranberrywheel.request.model import Answer, Outcome, Request
-from cranberrywheel.request.problem import problem_answer
-from cranberrywheel.request.retry import blames_request, plan_retry
+from cranberrywheel.request.problem import build_problem_answer
+from cranberrywheel.request.retry import plan_retry, request_caused_failures
 
 #: A request is refused as too large once this many workers answered that it does
 #: not fit.
 MAX_SIZE_REFUSALS = 2
 
-_log = PartLogger("placement")
+_log = ComponentLogger("placement")
 
 
 class Placement:
@@ -86,14 +86,14 @@
             return False
         assert self._state.snapshot is not None
         queue = self._state.snapshot.configuration.queues_by_name[request.queue]
-        expected_ms = self._state.estimates.run_ms(queue.name, queue.run_ms)
+        expected_ms = self._state.estimates.estimate_run_ms(queue.name, queue.run_ms)
         task_id = self.attempt_manager.start(
             request, queue, worker, expected_ms, pending.checkpoint
         )
         if task_id is None:
             return False
         if request.ticket:
-            self._state.tickets.started(request.ticket)
+            self._state.tickets.mark_started(request.ticket)
         pending.task_id = task_id
         pending.attempts += 1
         self._state.fleet.count_task_start(request.team, request.service)
@@ -114,7 +114,7 @@
         request = result.attempt.request
         if result.last:
             self._state.fleet.count_task_end(request.team, request.service)
-        if result.end is AttemptEnd.RAN:
+        if result.end is AttemptOutcome.RAN:
             self._state.estimates.record(
                 request.queue,
                 self._state.clock.now_ms() - result.attempt.sent_ms,
@@ -125,7 +125,7 @@
         if pending is None or pending.task_id != result.attempt.task_id:
             return
         pending.may_have_run = pending.may_have_run or result.started
-        if result.end in (AttemptEnd.RAN, AttemptEnd.FAILED):
+        if result.end in (AttemptOutcome.RAN, AttemptOutcome.FAILED):
             self._handle_target_answer(pending, result)
         elif result.kind == CHECKPOINTED_KIND:
             self._requeue_checkpointed(pending, result.attempt.task_id)
@@ -138,7 +138,7 @@
         self, pending: PendingRequest, result: AttemptResult
     ) -> None:
         request = pending.request
-        if result.end is AttemptEnd.RAN:
+        if result.end is AttemptOutcome.RAN:
             answer = Answer(
                 request_id=request.request_id,
                 outcome=Outcome.OK,
@@ -149,7 +149,7 @@
         else:
             if self._retry(pending, result, certainly_not_started=False):
                 return
-            answer = problem_answer(
+            answer = build_problem_answer(
                 request.request_id,
                 TargetFailedError(
                     "The target ran the request and reported a failure.",
@@ -218,7 +218,7 @@
         request = pending.request
         if not certainly_not_started:
             pending.failed_workers.add(result.attempt.worker.name)
-            if blames_request(pending.failed_workers):
+            if request_caused_failures(pending.failed_workers):
                 self._state.workers.retract_failures(pending.failed_workers, now_ms)
                 _log.event(
                     "request failed on several workers; no more retries",
--- a/src/cranberrywheel/process/planner.py
+++ b/src/cranberrywheel/process/planner.py
@@ -20,7 +20,7 @@
     StoreError,
     StoreUnavailableError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process import instance_lifecycle
 from cranberrywheel.process.capacity import build_problem
 from cranberrywheel.process.disruptions import Disruptions
@@ -62,7 +62,7 @@
 #: Shortest interval between two writes of the plan and the measured usage.
 PUBLISH_INTERVAL_MS = 60_000
 
-_log = PartLogger("planner")
+_log = ComponentLogger("planner")
 
 
 def wall_clock_ms() -> int:
--- a/src/cranberrywheel/process/quota_units.py
+++ b/src/cranberrywheel/process/quota_units.py
@@ -14,7 +14,7 @@
 import typing as t
 
 from cranberrywheel.process.limit_record import HolderRow, LimitRecord
-from cranberrywheel.settings import LimitSettings
+from cranberrywheel.settings import QuotaSettings
 
 #: Fraction of its base share that an idle holder keeps when others request units.
 RESERVE_FRACTION = 0.25
@@ -28,7 +28,7 @@
     :param settings: durations of the leases.
     """
 
-    def __init__(self, settings: LimitSettings) -> None:
+    def __init__(self, settings: QuotaSettings) -> None:
         self._settings = settings
         self._held_by_team: dict[str, tuple[int, int]] = {}
         self._limits_by_team: dict[str, int] = {}
@@ -412,7 +412,7 @@
     holder: str,
     absence: Absence,
     now_ms: int,
-    settings: LimitSettings,
+    settings: QuotaSettings,
 ) -> LimitRecord:
     """Free the units of a missing or replaced holder once its leases have expired.
 
--- a/src/cranberrywheel/process/request_handler.py
+++ b/src/cranberrywheel/process/request_handler.py
@@ -14,7 +14,7 @@
     UnknownOutcomeError,
     UnknownQueueError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process import messages
 from cranberrywheel.process.admission import (
     authorize_team,
@@ -25,10 +25,10 @@
 from cranberrywheel.process.pending import Forward, PendingRequest, Waiter
 from cranberrywheel.process.ticket_calls import build_claim_answer
 from cranberrywheel.request.model import Answer, Outcome, Request
-from cranberrywheel.request.problem import problem_answer
-from cranberrywheel.request.ticket import ClaimState, owner_of
+from cranberrywheel.request.problem import build_problem_answer
+from cranberrywheel.request.ticket import ClaimState, parse_owner
 
-_log = PartLogger("request")
+_log = ComponentLogger("request")
 
 
 class RequestHandler:
@@ -71,14 +71,14 @@
 
         The outcome is unknown if an earlier call with the same ticket may have run.
         """
-        answer = problem_answer(incoming.request_id, error)
+        answer = build_problem_answer(incoming.request_id, error)
         now_ms = self._state.clock.now_ms()
         may_have_run = incoming.idempotency_key and self._state.tickets.may_have_run(
             incoming.idempotency_key, now_ms
         )
         if not may_have_run or answer.outcome is not Outcome.NOT_RUN:
             return answer
-        return problem_answer(incoming.request_id, error, Outcome.UNKNOWN)
+        return build_problem_answer(incoming.request_id, error, Outcome.UNKNOWN)
 
     def _admit(self, incoming: messages.IncomingRequest, now_ms: int) -> Request:
         if self._state.drained:
@@ -98,7 +98,9 @@
         )
         request = build_request(incoming, queue, team, self._state.settings, now_ms)
         pool = self._state.snapshot.configuration.pool_of_queue(queue.name)
-        if self._state.estimates.never_fits(queue.name, pool.cores, pool.memory_mb):
+        if self._state.estimates.should_reject_oversized(
+            queue.name, pool.cores, pool.memory_mb
+        ):
             raise NeverFitsError(
                 f"Requests of queue {queue.name!r} use more cores or memory than a "
                 f"worker of pool {pool.name!r} has.",
@@ -118,7 +120,7 @@
         :raises TicketRequiredError: if the ticket is malformed.
         """
         try:
-            owner = owner_of(request.ticket)
+            owner = parse_owner(request.ticket)
         except RequestError:
             raise TicketRequiredError(
                 "The Idempotency-Key is not a ticket of this system.",
@@ -146,7 +148,7 @@
         return True
 
     def _enqueue(self, request: Request, waiter: Waiter, now_ms: int) -> None:
-        self._state.retry_budget.note_request(now_ms)
+        self._state.retry_budget.record_request(now_ms)
         try:
             self._check_expected_wait(request, now_ms)
             self.push(request)
@@ -164,7 +166,7 @@
         """
         assert self._state.snapshot is not None
         queue = self._state.snapshot.configuration.queues_by_name[request.queue]
-        run_ms = self._state.estimates.run_ms(queue.name, queue.run_ms)
+        run_ms = self._state.estimates.estimate_run_ms(queue.name, queue.run_ms)
         # Run times are estimates, so a request may wait for at least half of the
         # time until its deadline.
         latest_start_ms = request.deadline_ms - run_ms
@@ -185,15 +187,15 @@
             self._state.fleet.count_serving_slots(pool.name)
             // self._state.fleet.entry_count
         )
-        queued = self._state.queues_by_service[request.service].ahead_of(
+        queued = self._state.queues_by_service[request.service].estimate_requests_ahead(
             request.team,
             request.urgent,
             self._state.fleet.shares_by_team.get(request.team, 0.0),
         )
-        wait_ms = self._state.estimates.wait_ms(
+        wait_ms = self._state.estimates.estimate_wait_ms(
             request.queue, queue.run_ms, round(queued), max(1, slots)
         )
-        run_ms = self._state.estimates.run_ms(request.queue, queue.run_ms)
+        run_ms = self._state.estimates.estimate_run_ms(request.queue, queue.run_ms)
         if queued and now_ms + wait_ms + run_ms > request.deadline_ms:
             raise OverloadedError(
                 f"The expected wait in queue {request.queue!r} is "
@@ -224,7 +226,7 @@
             if request.ticket
             else "Retry with a longer Request-Timeout-Ms.",
         )
-        self._answer(waiter, problem_answer(request.request_id, error))
+        self._answer(waiter, build_problem_answer(request.request_id, error))
         self._remove_waiter(pending, waiter)
 
     def cancel(self, request_id: str) -> None:
@@ -250,7 +252,7 @@
             _log.event("dropped a cancelled request", request_id=request_id)
             self.finish_not_run(pending, error)
             return
-        self._answer(waiter, problem_answer(request_id, error))
+        self._answer(waiter, build_problem_answer(request_id, error))
         self._remove_waiter(pending, waiter)
 
     def _remove_waiter(self, pending: PendingRequest, waiter: Waiter) -> None:
@@ -279,7 +281,7 @@
             self._state.tickets.release(
                 pending.request.ticket, self._state.clock.now_ms()
             )
-        self.finish(pending, problem_answer(pending.request.request_id, error))
+        self.finish(pending, build_problem_answer(pending.request.request_id, error))
 
     def finish_unknown(self, pending: PendingRequest, detail: str) -> None:
         """Answer a request that may have run with an unknown outcome.
@@ -287,7 +289,7 @@
         :param detail: last error, one sentence.
         """
         request = pending.request
-        answer = problem_answer(
+        answer = build_problem_answer(
             request.request_id,
             UnknownOutcomeError(
                 f"An attempt was started but gave no complete answer: {detail}",
@@ -350,7 +352,7 @@
             "The instance to which the request was forwarded did not answer.",
             "Retry with the same ticket, or retry an idempotent request.",
         )
-        self._answer(forward.waiter, problem_answer(message.request_id, error))
+        self._answer(forward.waiter, build_problem_answer(message.request_id, error))
 
     def drop_removed_queues(self) -> None:
         """Refuse queued requests of queues that the new configuration lacks."""
--- a/src/cranberrywheel/process/store_reader.py
+++ b/src/cranberrywheel/process/store_reader.py
@@ -9,7 +9,7 @@
 from cranberrywheel.clock import Clock
 from cranberrywheel.connection.store_client import Record, StoreClient
 from cranberrywheel.errors import StoreError, StoreUnavailableError
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.exchange import PeerExchange
 from cranberrywheel.process.membership import (
     ENTRIES_PREFIX,
@@ -24,7 +24,7 @@
 from cranberrywheel.process.quota_manager import LIMITS_PREFIX
 from cranberrywheel.process.record_writer import Backoff
 from cranberrywheel.settings import EntrySettings
-from cranberrywheel.version.adoption import CONFIGURATION_KEY
+from cranberrywheel.version.active_configuration import CONFIGURATION_KEY
 from cranberrywheel.version.records import parse_record
 
 POOLS_PREFIX = "pools/"
@@ -39,7 +39,7 @@
 #: learn of it before they read too.
 READ_JITTER_FRACTION = 0.3
 
-_log = PartLogger("store")
+_log = ComponentLogger("store")
 
 
 class _PoolRowBody(pydantic.BaseModel):
--- a/src/cranberrywheel/process/store_session.py
+++ b/src/cranberrywheel/process/store_session.py
@@ -14,7 +14,7 @@
     StoreError,
     StoreUnavailableError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process.configuration_writer import (
     SHUTTING_DOWN,
     ConfigurationWriter,
@@ -42,7 +42,7 @@
 #: Attempts at shutdown to return the quota units if the store does not answer.
 MAX_RETURN_ATTEMPTS = 3
 
-_log = PartLogger("store")
+_log = ComponentLogger("store")
 
 
 class RegistrationLease:
--- a/src/cranberrywheel/process/ticket_calls.py
+++ b/src/cranberrywheel/process/ticket_calls.py
@@ -13,8 +13,8 @@
 from cranberrywheel.process.admission import authorize_team, find_queue
 from cranberrywheel.process.entry_state import EntryState
 from cranberrywheel.request.model import Answer, Outcome
-from cranberrywheel.request.problem import problem_answer
-from cranberrywheel.request.ticket import Claim, ClaimState, owner_of
+from cranberrywheel.request.problem import build_problem_answer
+from cranberrywheel.request.ticket import Claim, ClaimState, parse_owner
 
 #: Shorter than the wait of the caller API for the answer to a query.
 QUERY_TIMEOUT_MS = 3_000
@@ -37,7 +37,7 @@
             "The process that held the result of the request is gone.",
             "Check its effect on the target before sending a new request.",
         )
-    return problem_answer(request_id, error)
+    return build_problem_answer(request_id, error)
 
 
 class TicketCalls:
@@ -102,10 +102,10 @@
         try:
             claim = self._state.tickets.query(message.ticket, now_ms)
         except RequestError as error:
-            message.answer.set_result(problem_answer("", error))
+            message.answer.set_result(build_problem_answer("", error))
             return
         if claim.state is ClaimState.UNKNOWN and not message.forwarded:
-            peer = self._state.fleet.peer_address(owner_of(message.ticket))
+            peer = self._state.fleet.peer_address(parse_owner(message.ticket))
             if peer:
                 self._query_owner(peer, message)
                 return
--- a/tests/dispatcher_fakes.py
+++ b/tests/dispatcher_fakes.py
@@ -6,8 +6,8 @@
 from cranberrywheel.clock import ManualClock
 from cranberrywheel.connection.store_client import Instance, InstanceList
 from cranberrywheel.connection.target_messages import (
-    AttemptEnd,
     AttemptFinished,
+    AttemptOutcome,
     FetchToken,
     StartAttempt,
     TokenFetched,
@@ -170,21 +170,21 @@
     def grant_tokens(self):
         for fetch in self.take_sent(FetchToken):
             now_ms = self.clock.now_ms()
-            self.post(TokenFetched(worker=fetch.worker, token="t", asked_ms=now_ms))
+            self.post(TokenFetched(worker=fetch.worker, token="t", requested_ms=now_ms))
 
     def take_starts(self):
         return self.take_sent(StartAttempt)
 
-    def finish_attempt(self, start, end=AttemptEnd.RAN, kind="", body=b"done"):
+    def finish_attempt(self, start, end=AttemptOutcome.RAN, kind="", body=b"done"):
         self.post(
             AttemptFinished(
                 task_id=start.task_id,
                 worker=start.worker,
-                end=end,
+                outcome=end,
                 kind=kind,
                 body=body,
                 next_token="t",
-                asked_ms=self.clock.now_ms(),
+                requested_ms=self.clock.now_ms(),
             )
         )
         self.grant_tokens()
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -5,7 +5,7 @@
 
 from cranberrywheel.connection.store_client import InstanceList
 from cranberrywheel.connection.target_messages import (
-    AttemptEnd,
+    AttemptOutcome,
     ControlFinished,
     ControlTask,
     FetchUsage,
@@ -16,7 +16,7 @@
 from cranberrywheel.errors import NotReadyError
 from cranberrywheel.process import messages
 from cranberrywheel.request.model import Answer, Outcome
-from cranberrywheel.request.problem import problem_answer
+from cranberrywheel.request.problem import build_problem_answer
 from cranberrywheel.request.ticket import TicketExport
 from cranberrywheel.version.configuration import parse_configuration
 
@@ -71,7 +71,7 @@
                 worker=stop.worker,
                 action="stop",
                 confirmed=True,
-                gone=False,
+                task_unknown=False,
             )
         )
         self.harness.grant_tokens()
@@ -110,7 +110,7 @@
     def test_refused_start_is_retried_on_another_worker(self):
         future = self.harness.submit("a")
         (start,) = self.harness.take_starts()
-        self.harness.finish_attempt(start, AttemptEnd.REFUSED, "busy")
+        self.harness.finish_attempt(start, AttemptOutcome.REFUSED, "busy")
         self.harness.advance(2_000)
         self.harness.grant_tokens()
         (again,) = self.harness.take_starts()
@@ -122,7 +122,7 @@
         ticket = self.harness.ticket()
         future = self.harness.submit("a", "payments", ticket)
         (start,) = self.harness.take_starts()
-        self.harness.finish_attempt(start, AttemptEnd.BROKEN)
+        self.harness.finish_attempt(start, AttemptOutcome.NO_USABLE_ANSWER)
         (query,) = self.harness.take_sent(QueryTask)
         self.assertFalse(future.done())
         self.harness.post(
@@ -161,7 +161,7 @@
         ticket = self.harness.ticket()
         future = self.harness.submit("a", "payments", ticket)
         (start,) = self.harness.take_starts()
-        self.harness.finish_attempt(start, AttemptEnd.BROKEN)
+        self.harness.finish_attempt(start, AttemptOutcome.NO_USABLE_ANSWER)
         self.harness.advance(30_000)
         self.assert_refused(future, "unknown-outcome", Outcome.UNKNOWN)
         again = self.harness.submit("b", "payments", ticket)
@@ -234,7 +234,7 @@
     def test_deadline_after_a_broken_attempt_is_unknown(self):
         future = self.harness.submit("a")
         (start,) = self.harness.take_starts()
-        self.harness.finish_attempt(start, AttemptEnd.BROKEN)
+        self.harness.finish_attempt(start, AttemptOutcome.NO_USABLE_ANSWER)
         self.harness.post(messages.InstancesListed(InstanceList(2, 0, ())))
         self.harness.advance(10_100)
         self.assert_refused(future, "unknown-outcome", Outcome.UNKNOWN)
@@ -243,7 +243,7 @@
         ticket = self.harness.ticket()
         future = self.harness.submit("a", "payments", ticket)
         (start,) = self.harness.take_starts()
-        self.harness.finish_attempt(start, AttemptEnd.STOPPED, "checkpointed")
+        self.harness.finish_attempt(start, AttemptOutcome.STOPPED, "checkpointed")
         (again,) = self.harness.take_starts()
         self.assertEqual(start.task_id, again.checkpoint)
         self.harness.finish_attempt(again, body=b"counted")
@@ -269,7 +269,9 @@
         futures = [self.harness.submit(f"r{i}") for i in range(4)]
         self.harness.advance(400)
         ((_, incoming, forward),) = self.harness.forwarded
-        forward.set_result(problem_answer(incoming.request_id, NotReadyError("x")))
+        forward.set_result(
+            build_problem_answer(incoming.request_id, NotReadyError("x"))
+        )
         self.harness.post()
         self.harness.dispatcher.run_once()
         self.assertEqual(1, sum(future.done() for future in futures))
@@ -279,7 +281,7 @@
         ticket = self.harness.ticket()
         future = self.harness.submit("a", "payments", ticket)
         (start,) = self.harness.take_starts()
-        self.harness.finish_attempt(start, AttemptEnd.REFUSED, "busy")
+        self.harness.finish_attempt(start, AttemptOutcome.REFUSED, "busy")
         self.harness.post(messages.CancelRequest("a"))
         self.assert_refused(future, "cancelled")
         self.assertEqual(0, len(self.harness.state.pending))
--- a/tests/test_quota_manager.py
+++ b/tests/test_quota_manager.py
@@ -5,7 +5,7 @@
 
 from cranberrywheel.errors import StoreError
 from cranberrywheel.process.messages import Stop
-from cranberrywheel.settings import LimitSettings
+from cranberrywheel.settings import QuotaSettings
 from cranberrywheel.version.records import parse_record
 
 LIMIT = 12
@@ -146,7 +146,7 @@
     def test_long_units_of_a_failed_entry_are_reclaimed_after_their_lease(self):
         """Units must become free again, but not before their leases expire."""
         group = self.build_group(
-            3, LimitSettings(short_hold_ms=90_000, long_hold_ms=200_000)
+            3, QuotaSettings(short_hold_ms=90_000, long_hold_ms=200_000)
         )
         group.entries[2].paused = True
         group.run(110_000)
@@ -272,7 +272,7 @@
         print("seed", seed)
         self.rng, self.repairs = random.Random(seed), []
         self.group = build_entry_group(
-            4, LimitSettings(short_hold_ms=90_000, long_hold_ms=240_000)
+            4, QuotaSettings(short_hold_ms=90_000, long_hold_ms=240_000)
         )
         self.group.entries[0].apply(TEXT, 0).result(0)
         self.group.run(4_000)
