--- a/src/cranberrywheel/process/configuration_writer.py
+++ b/src/cranberrywheel/process/configuration_writer.py
@@ -218,7 +218,7 @@
 
     def _is_known(self, key_id: str) -> bool:
         """Tell whether a key exists, has existed or may exist."""
-        snapshot = self._peers.holder.snapshot
+        snapshot = self._peers.active_configuration.snapshot
         if snapshot is None or key_id not in {
             *snapshot.keys_by_id,
             *snapshot.revoked_key_ids,
@@ -308,7 +308,7 @@
 
     def _adopt(self, stored: StoredRecord) -> None:
         try:
-            self._peers.holder.adopt(stored.record)
+            self._peers.active_configuration.adopt(stored.record)
         except StoreError as error:
             _log.warning("malformed record ignored", cause=error.message)
 
@@ -354,7 +354,7 @@
             self._finish(operation, error=error)
 
     def _complete_revocations(self, now_ms: int) -> None:
-        snapshot = self._peers.holder.snapshot
+        snapshot = self._peers.active_configuration.snapshot
         for revocation in list(self._revocations):
             key_id = revocation.message.key_id
             stored = snapshot is not None and key_id in snapshot.revoked_key_ids
--- a/src/cranberrywheel/process/entry.py
+++ b/src/cranberrywheel/process/entry.py
@@ -93,7 +93,10 @@
         )
         self._store = StoreSession(settings, clock, post, self._exchange)
         operators = OperatorApi(
-            token, post, self._store.inbox.put, lambda: self._exchange.holder.snapshot
+            token,
+            post,
+            self._store.inbox.put,
+            lambda: self._exchange.active_configuration.snapshot,
         )
         callers = CallerApi(settings, post, self.is_ready, operators)
         self._http = HttpServer(
@@ -119,7 +122,7 @@
         """Tell whether the load balancer should send requests here."""
         return (
             not self._stop_requested.is_set()
-            and self._exchange.holder.snapshot is not None
+            and self._exchange.active_configuration.snapshot is not None
         )
 
     def start(self) -> None:
--- a/src/cranberrywheel/process/exchange.py
+++ b/src/cranberrywheel/process/exchange.py
@@ -115,7 +115,7 @@
     ) -> None:
         self.process_id = process_id
         self.registration = build_own_registration(settings, process_id)
-        self.holder = ActiveConfiguration(self._on_adopted)
+        self.active_configuration = ActiveConfiguration(self._on_adopted)
         self._settings = settings
         self._clock = clock
         self._to_dispatcher = to_dispatcher
@@ -194,7 +194,7 @@
 
     def add_tombstone(self, key_id: str) -> None:
         """Add a key revocation that may not be in the store yet."""
-        snapshot = self.holder.snapshot
+        snapshot = self.active_configuration.snapshot
         with self._lock:
             if key_id in self._tombstones:
                 return
@@ -206,7 +206,7 @@
 
     def list_unwritten_tombstones(self) -> set[str]:
         """Return the ids of revoked keys that are not known to be in the store."""
-        snapshot = self.holder.snapshot
+        snapshot = self.active_configuration.snapshot
         with self._lock:
             if snapshot is not None:
                 self._tombstones -= snapshot.revoked_key_ids
@@ -218,7 +218,7 @@
         :returns: ids of the processes that confirmed, this one first, and ids of the
             processes that did not.
         """
-        snapshot = self.holder.snapshot
+        snapshot = self.active_configuration.snapshot
         is_stored = snapshot is not None and key_id in snapshot.revoked_key_ids
         confirmed, unconfirmed = [self.process_id], []
         with self._lock:
@@ -271,7 +271,7 @@
                 zone=own.zone,
                 http_address=own.http_address,
                 peer_address=own.peer_address,
-                configuration_version=self.holder.version,
+                configuration_version=self.active_configuration.version,
                 has_proof=proof_age_ms is not None and proof_age_ms < MAX_AGE_MS,
                 leaving_instances=load.leaving_instances,
                 stopping=load.stopping,
@@ -319,7 +319,7 @@
             self._states_by_id[state.process_id] = state
             self._last_seen_ms_by_id[state.process_id] = self._clock.now_ms()
         self._to_dispatcher(self._build_report(state))
-        if state.configuration_version > self.holder.version:
+        if state.configuration_version > self.active_configuration.version:
             return False
         if sent_ms is not None:
             self._merge_ages(state, sent_ms)
@@ -370,7 +370,7 @@
         """
         record = Record("configuration", fetched.record_json, fetched.version)
         try:
-            self.holder.adopt(record)
+            self.active_configuration.adopt(record)
         except StoreError as error:
             raise PeerError(error.message, "Check the peer's version.") from None
 
@@ -379,7 +379,7 @@
 
         :param newer_than: version that the peer has.
         """
-        record = self.holder.record
+        record = self.active_configuration.record
         if record is None or record.revision <= newer_than:
             return ConfigurationRecord()
         return ConfigurationRecord(version=record.revision, record_json=record.value)
--- a/src/cranberrywheel/process/peer_service.py
+++ b/src/cranberrywheel/process/peer_service.py
@@ -358,7 +358,7 @@
             state = await stub.Exchange(self._exchange.build_state(), timeout=timeout)
             if not self._exchange.merge_state(state, sent_ms):
                 request = peer_pb2.FetchRequest(
-                    newer_than=self._exchange.holder.version
+                    newer_than=self._exchange.active_configuration.version
                 )
                 fetched = await stub.FetchConfiguration(request, timeout=timeout)
                 self._exchange.adopt_fetched(fetched)
--- a/src/cranberrywheel/process/quota_manager.py
+++ b/src/cranberrywheel/process/quota_manager.py
@@ -155,7 +155,7 @@
         return (row.long, row.short) if row else (0, 0)
 
     def _apply_known_limit(self, team: str, record: LimitRecord) -> LimitRecord:
-        snapshot = self._peers.holder.snapshot
+        snapshot = self._peers.active_configuration.snapshot
         teams = snapshot.configuration.teams_by_name if snapshot else {}
         if snapshot is None or team not in teams:
             return record
--- a/src/cranberrywheel/process/store_reader.py
+++ b/src/cranberrywheel/process/store_reader.py
@@ -152,12 +152,14 @@
         :raises StoreUnavailableError: if the store does not answer.
         """
         sent_ms = self._clock.now_ms()
-        answer = self._client.get(CONFIGURATION_KEY, self._peers.holder.version)
+        answer = self._client.get(
+            CONFIGURATION_KEY, self._peers.active_configuration.version
+        )
         if answer is None:
             return
         if isinstance(answer, Record):
             try:
-                self._peers.holder.adopt(answer)
+                self._peers.active_configuration.adopt(answer)
             except StoreError as error:
                 self._log_malformed(answer, error)
                 return
--- a/src/cranberrywheel/process/store_session.py
+++ b/src/cranberrywheel/process/store_session.py
@@ -227,7 +227,7 @@
         if store_allowed:
             self._renew_lease_if_due(now_ms)
         self._configuration_writer.step(now_ms, store_allowed)
-        snapshot = self._peers.holder.snapshot
+        snapshot = self._peers.active_configuration.snapshot
         is_registered = self._registered_revision == self._lease.revision > 0
         if (
             store_allowed
--- a/src/cranberrywheel_load/entries.py
+++ b/src/cranberrywheel_load/entries.py
@@ -250,6 +250,6 @@
     state = peer.exchange.build_state()
     caller.clock.advance(delay_ms)
     if not caller.exchange.merge_state(state, sent_ms):
-        known = caller.exchange.holder.version
+        known = caller.exchange.active_configuration.version
         caller.exchange.adopt_fetched(peer.exchange.get_newer_record(known))
         caller.exchange.merge_state(state, sent_ms)
--- a/src/cranberrywheel_spec/freshness_conformance.py
+++ b/src/cranberrywheel_spec/freshness_conformance.py
@@ -87,7 +87,7 @@
 
     def knows(self) -> bool:
         """Tell whether this entry refuses the withdrawn key."""
-        snapshot = self.exchange.holder.snapshot
+        snapshot = self.exchange.active_configuration.snapshot
         withdrawn = snapshot is not None and _KEY not in snapshot.keys_by_id
         return withdrawn or _KEY in self.exchange.list_unwritten_tombstones()
 
@@ -113,7 +113,7 @@
         self.answers: dict[str, tuple[PeerState, Record | None]] = {}
         roster = [e.exchange.registration for e in self.entries.values()]
         for entry in self.entries.values():
-            entry.exchange.holder.adopt(self.stored)
+            entry.exchange.active_configuration.adopt(self.stored)
             entry.exchange.set_roster(roster, entry.start_ms)
         self._list_instances()
 
@@ -150,7 +150,7 @@
 
     def deliver_old_record(self, i: str) -> None:
         """A watch that was answered before the withdrawal, and a slow peer."""
-        self.entries[i].exchange.holder.adopt(self.before)
+        self.entries[i].exchange.active_configuration.adopt(self.before)
         self._check()
 
     def _walk(self, name: str) -> None:
@@ -172,7 +172,10 @@
                 self.sent_ms[i + j] = self.entries[i].clock.now_ms()
             elif name == f"{j} answers {i}":
                 exchange = self.entries[j].exchange
-                self.answers[i + j] = exchange.build_state(), exchange.holder.record
+                self.answers[i + j] = (
+                    exchange.build_state(),
+                    exchange.active_configuration.record,
+                )
             elif name == f"{i} gets the answer of {j}":
                 self._get_answer(i, j)
         self._withdraw(name)
@@ -181,14 +184,14 @@
     def _get_record(self, i: str) -> None:
         sent_ms, record = self.reads[i]
         exchange = self.entries[i].exchange
-        exchange.holder.adopt(record)
+        exchange.active_configuration.adopt(record)
         exchange.record_store_read(sent_ms)
 
     def _get_answer(self, i: str, j: str) -> None:
         state, record = self.answers[i + j]
         exchange, sent_ms = self.entries[i].exchange, self.sent_ms[i + j]
         if not exchange.merge_state(state, sent_ms):
-            exchange.holder.adopt(record)
+            exchange.active_configuration.adopt(record)
             assert exchange.merge_state(state, sent_ms)
         # The product counts the messages of all entries in each merge.
         if f"{i} has heard all" in self.walk.enabled():
@@ -215,7 +218,7 @@
         now_s = values["now_s"] + fractions.Fraction(self.passed_ms, 1000)
         late = values["accepted"] and now_s - values["accepted_s"] > BOUND_S
         for name, entry in self.entries.items():
-            version = entry.exchange.holder.version
+            version = entry.exchange.active_configuration.version
             assert version >= entry.version, f"{name} reverted to {version}"
             entry.version = version
             assert entry.knows() >= bool(values[f"knows_{name}"]), name
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -150,7 +150,7 @@
         self.assertEqual({e.process_id for e in (a, b, c)}, set(result["confirmed"]))
         group.set_down(False)
         group.run(6_000)
-        self.assertIn(key_id, c.exchange.holder.snapshot.revoked_key_ids)
+        self.assertIn(key_id, c.exchange.active_configuration.snapshot.revoked_key_ids)
         self.assertEqual(set(), b.exchange.list_unwritten_tombstones())
 
     def test_older_proof_does_not_hide_a_newer_version(self):
@@ -158,14 +158,16 @@
         group, (a, b, _) = self.group()
         group.set_down(True)
         group.clock.advance(60_000)
-        record = b.exchange.holder.record
+        record = b.exchange.active_configuration.record
         newer = ConfigurationRecord(version=99, record_json=record.value)
         b.exchange.adopt_fetched(newer)
         b.exchange.record_store_read(group.clock.now_ms())
         state = b.exchange.build_state()
         self.assertFalse(a.exchange.merge_state(state, group.clock.now_ms()))
         self.assertFalse(a.is_fresh())
-        a.exchange.adopt_fetched(b.exchange.get_newer_record(a.exchange.holder.version))
+        a.exchange.adopt_fetched(
+            b.exchange.get_newer_record(a.exchange.active_configuration.version)
+        )
         self.assertTrue(a.exchange.merge_state(state, group.clock.now_ms()))
         self.assertTrue(a.is_fresh())
 
--- a/tests/test_freshness_conformance.py
+++ b/tests/test_freshness_conformance.py
@@ -40,13 +40,13 @@
 class RevertingExchange(PeerExchange):
     def __init__(self, *arguments):
         super().__init__(*arguments)
-        adopt = self.holder.adopt
+        adopt = self.active_configuration.adopt
 
         def adopt_any(record):
-            self.holder._snapshot = None
+            self.active_configuration._snapshot = None
             return adopt(record)
 
-        self.holder.adopt = adopt_any
+        self.active_configuration.adopt = adopt_any
 
 
 class FreshnessConformanceTest(testtools.TestCase):
--- a/tests/test_store_session.py
+++ b/tests/test_store_session.py
@@ -59,7 +59,7 @@
 
         self.a.clients[0].put = grant_first
         self.assertEqual(2, self.a.apply(TEXT.replace("12", "10"), 1).result(0))
-        snapshot = self.a.exchange.holder.snapshot
+        snapshot = self.a.exchange.active_configuration.snapshot
         self.assertEqual({keys[0].partition(".")[0]}, set(snapshot.keys_by_id))
         self.assertEqual(10, snapshot.configuration.teams_by_name["t"].limit)
 
@@ -73,7 +73,9 @@
         key = self.a.grant("t")
         self.group.run(4_000)
         key_id = key.result(0).partition(".")[0]
-        self.assertEqual({key_id}, set(self.a.exchange.holder.snapshot.keys_by_id))
+        self.assertEqual(
+            {key_id}, set(self.a.exchange.active_configuration.snapshot.keys_by_id)
+        )
 
     def test_delayed_write_cannot_follow_a_refusal(self):
         """An edit reported as refused must not take effect later."""
@@ -87,7 +89,11 @@
         self.assertIsInstance(answer.exception(0), VersionConflictError)
         client.delayed[0]()
         self.group.run(4_000)
-        team = self.b.exchange.holder.snapshot.configuration.teams_by_name["t"]
+        team = (
+            self.b.exchange.active_configuration.snapshot.configuration.teams_by_name[
+                "t"
+            ]
+        )
         self.assertEqual(8, team.limit)
 
     def test_store_outage_is_reported_with_what_is_known(self):
--- a/tests/test_store_session_network.py
+++ b/tests/test_store_session_network.py
@@ -68,7 +68,7 @@
         # A peer confirms with its tombstone or with the stored version. It removes
         # the tombstone only once it has that version, so tombstones are read first.
         revoked_ids = b.exchange.list_unwritten_tombstones()
-        revoked_ids |= b.exchange.holder.snapshot.revoked_key_ids
+        revoked_ids |= b.exchange.active_configuration.snapshot.revoked_key_ids
         self.assertIn(key_id, revoked_ids)
 
     def test_store_client_reports_what_the_platform_answers(self):
