--- a/src/cranberrywheel/programs/__init__.py
+++ b/src/cranberrywheel/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Console scripts: argument parsing only."""
+"""Console scripts: command line parsing, output and exit codes."""
--- a/src/cranberrywheel/programs/entry.py
+++ b/src/cranberrywheel/programs/entry.py
@@ -13,13 +13,15 @@
     description = "Run an entry instance until SIGTERM."
     help = "Example: cranberrywheel-entry --settings /etc/cranberrywheel/entry.ini"
 
-    def create(self, path: str) -> tuple[t.Callable[[], None], t.Callable[[], None]]:
+    def build_daemon(
+        self, path: str
+    ) -> tuple[t.Callable[[], None], t.Callable[[], None]]:
         entry = Entry(load_entry_settings(path))
         return entry.run, entry.request_stop
 
 
 def main() -> int:
-    """Run the program."""
+    """Run the command line; returns the exit code."""
     return run_daemon("cranberrywheel-entry", EntryCommand())
 
 
--- a/src/cranberrywheel/programs/exit_codes.py
+++ b/src/cranberrywheel/programs/exit_codes.py
@@ -1,3 +1,3 @@
-"""Exit codes of all programs."""
+"""Exit codes of the console scripts: success, operation refused, usage error."""
 
-OK, REFUSED, USAGE = 0, 1, 2
+EXIT_OK, EXIT_REFUSED, EXIT_USAGE = 0, 1, 2
--- a/src/cranberrywheel/programs/node.py
+++ b/src/cranberrywheel/programs/node.py
@@ -1,4 +1,4 @@
-"""``cranberrywheel-node``: runs one process on the users' platform."""
+"""``cranberrywheel-node``: runs one node process on the users' platform."""
 
 import os
 import sys
@@ -9,14 +9,19 @@
 from cranberrywheel.logs import write_to_stdout
 from cranberrywheel.node.node import METRICS_PORT, Node
 from cranberrywheel.platform.settings import load_settings
-from cranberrywheel.programs.exit_codes import OK, USAGE
+from cranberrywheel.programs.exit_codes import EXIT_OK, EXIT_USAGE
 
-#: Overrides the port of the metrics, for several nodes on one address.
+#: Environment variable that overrides the metrics port, so that several nodes can
+#: run on one address.
 METRICS_PORT_VARIABLE = "CRANBERRYWHEEL_METRICS_PORT"
 
 
 def main() -> int:
-    """Run the program; the platform's settings file says how."""
+    """Run a node with the settings that the platform provides.
+
+    :returns: ``EXIT_USAGE`` if the settings are invalid; otherwise the process exits
+        from here with ``EXIT_OK``.
+    """
     flags.FLAGS(["cranberrywheel-node"])
     logging.set_verbosity(logging.INFO)
     stop_logs = write_to_stdout()
@@ -25,11 +30,12 @@
         Node(load_settings(), port).run()
     except SettingsError as error:
         print(error, file=sys.stderr)
-        return USAGE
+        return EXIT_USAGE
     finally:
         stop_logs()
-    # Threads of callers that wait for an answer must not hold up the exit.
-    os._exit(OK)
+    # os._exit, because threads of callers that still wait for an answer would delay a
+    # regular exit.
+    os._exit(EXIT_OK)
 
 
 if __name__ == "__main__":
--- a/src/cranberrywheel/programs/operator.py
+++ b/src/cranberrywheel/programs/operator.py
@@ -10,32 +10,33 @@
 from returns.result import Success
 
 import cranberrywheel
-from cranberrywheel.programs.console import REFUSED, run_application
+from cranberrywheel.programs.console import EXIT_REFUSED, run_application
 from cranberrywheel.programs.operator_client import EntryClient, OperatorCallError
 from cranberrywheel.programs.operator_command import (
-    ENTRY,
-    FILE,
-    JSON,
-    TOKEN_FILE,
+    ENTRY_OPTION,
+    FILE_ARGUMENT,
+    JSON_OPTION,
+    TOKEN_FILE_OPTION,
     OperatorCommand,
     read_configuration,
 )
-from cranberrywheel.programs.plan_command import PlanCommand, current_plan, plan_lines
+from cranberrywheel.programs.plan_command import PlanCommand, compute_plan, format_plan
 from cranberrywheel.version.configuration import parse_configuration
 from cranberrywheel.version.differences import list_differences
 
-WAIT_S = 10.0
-POLL_S = 0.2
+#: Longest wait of ``apply`` for the instances to adopt the new text version.
+IN_FORCE_TIMEOUT_S = 10.0
+STATUS_POLL_INTERVAL_S = 0.2
 
 
 class CheckCommand(OperatorCommand):
     name = "check"
-    description = "Validate a text without applying it."
+    description = "Validate a configuration text without applying it."
     help = "Example: cranberrywheel check fleet.ini"
-    arguments = [FILE]
-    options = [JSON]
+    arguments = [FILE_ARGUMENT]
+    options = [JSON_OPTION]
 
-    def work(self) -> int:
+    def run_command(self) -> int:
         _, configuration = read_configuration(self.argument("file"))
         counts = {
             "zones": len(configuration.regions_by_zone),
@@ -45,20 +46,21 @@
             "queues": len(configuration.queues_by_name),
             "teams": len(configuration.teams_by_name),
         }
-        words = ", ".join(f"{count} {name}" for name, count in counts.items())
-        self.show_result({"valid": True, **counts}, [f"valid: {words}"])
+        summary = ", ".join(f"{count} {name}" for name, count in counts.items())
+        self.print_result({"valid": True, **counts}, [f"valid: {summary}"])
         return 0
 
 
 def wait_until_in_force(
     clients: list[EntryClient], text_version: int
 ) -> tuple[dict[str, str], list[str]]:
-    """Poll instances until all have a text version or the wait is over.
+    """Poll instances until all have a text version or ``IN_FORCE_TIMEOUT_S`` is over.
 
-    :returns: zone by URL of those that have it, and the URLs of the others.
+    :returns: zone by URL of the instances that have the version, and the URLs of the
+        others.
     """
     zones_by_url: dict[str, str] = {}
-    deadline = time.monotonic() + WAIT_S
+    deadline = time.monotonic() + IN_FORCE_TIMEOUT_S
     while True:
         for client in clients:
             if client.url in zones_by_url:
@@ -66,38 +68,46 @@
             status = client.call("GET", "/v1/status").value_or({})
             if status.get("text_version", 0) >= text_version:
                 zones_by_url[client.url] = str(status.get("zone"))
-        missing = [c.url for c in clients if c.url not in zones_by_url]
+        missing = [client.url for client in clients if client.url not in zones_by_url]
         if not missing or time.monotonic() > deadline:
             return zones_by_url, missing
-        time.sleep(POLL_S)
+        time.sleep(STATUS_POLL_INTERVAL_S)
 
 
 class ApplyCommand(OperatorCommand):
     name = "apply"
-    description = "Apply a text and wait until it is in force."
+    description = "Apply a configuration text and wait until it is in force."
     help = "Example: cranberrywheel apply fleet.ini --entry http://10.0.0.1:8000"
-    arguments = [FILE]
+    arguments = [FILE_ARGUMENT]
     options = [
-        ENTRY,
-        TOKEN_FILE,
-        option("expect", None, "Text version that you edited.", flag=False),
-        JSON,
+        ENTRY_OPTION,
+        TOKEN_FILE_OPTION,
+        option("expect", None, "Text version that the edit started from.", flag=False),
+        JSON_OPTION,
     ]
 
-    def work(self) -> int:
+    def run_command(self) -> int:
         text, configuration = read_configuration(self.argument("file"))
-        shown = self.first_answer("GET", "/v1/configuration")
-        old = parse_configuration(shown["text"]) if shown["text"] else None
-        changes = list_differences(old, configuration) if old else ["first text"]
+        configuration_answer = self.call_first_reachable("GET", "/v1/configuration")
+        old_configuration = (
+            parse_configuration(configuration_answer["text"])
+            if configuration_answer["text"]
+            else None
+        )
+        changes = (
+            list_differences(old_configuration, configuration)
+            if old_configuration
+            else ["first text"]
+        )
         if not self.option("json"):
             for change in changes or ["no differences"]:
                 self.line(change)
-        expected = self.option("expect") or str(shown["text_version"])
-        answer = self.first_answer(
+        expected = self.option("expect") or str(configuration_answer["text_version"])
+        answer = self.call_first_reachable(
             "PUT", "/v1/configuration", text.encode(), f'If-Match: "{expected}"'
         )
         version = int(answer["text_version"])
-        zones_by_url, missing = wait_until_in_force(self.clients(), version)
+        zones_by_url, missing = wait_until_in_force(self.build_clients(), version)
         result = {
             "text_version": version,
             "differences": changes,
@@ -105,99 +115,112 @@
             "not_reached": missing,
         }
         lines = [f"text version {version} accepted"]
-        lines += [f"in force in {z}: {url}" for url, z in sorted(zones_by_url.items())]
+        lines += [
+            f"in force in {zone}: {url}" for url, zone in sorted(zones_by_url.items())
+        ]
         lines += [f"not reached: {url}" for url in missing]
-        self.show_result(result, lines)
-        return REFUSED if missing else 0
+        self.print_result(result, lines)
+        return EXIT_REFUSED if missing else 0
 
 
 class ShowCommand(OperatorCommand):
     name = "show"
-    description = "Print the text in force and the granted keys."
+    description = "Print the configuration text in force and the API keys of the teams."
     help = "Example: cranberrywheel show > fleet.ini"
-    options = [ENTRY, TOKEN_FILE, JSON]
+    options = [ENTRY_OPTION, TOKEN_FILE_OPTION, JSON_OPTION]
 
-    def work(self) -> int:
-        shown = self.first_answer("GET", "/v1/configuration")
-        lines = [f"# text version {shown['text_version']}"]
-        lines += [f"# key {key['key_id']} of {key['team']}" for key in shown["keys"]]
-        self.show_result(shown, [*lines, shown["text"]])
+    def run_command(self) -> int:
+        configuration_answer = self.call_first_reachable("GET", "/v1/configuration")
+        lines = [f"# text version {configuration_answer['text_version']}"]
+        lines += [
+            f"# key {key['key_id']} of {key['team']}"
+            for key in configuration_answer["keys"]
+        ]
+        self.print_result(configuration_answer, [*lines, configuration_answer["text"]])
         return 0
 
 
 class GrantCommand(OperatorCommand):
     name = "grant"
-    description = "Create a key for a team; it is printed once."
+    description = "Create an API key for a team; it is shown only once."
     help = "Example: cranberrywheel grant head-office"
-    arguments = [argument("team", "Team that the key is for.")]
-    options = [ENTRY, TOKEN_FILE, JSON]
+    arguments = [argument("team", "Name of the team.")]
+    options = [ENTRY_OPTION, TOKEN_FILE_OPTION, JSON_OPTION]
 
-    def work(self) -> int:
+    def run_command(self) -> int:
         body = json.dumps({"team": self.argument("team")}).encode()
-        answer = self.first_answer("POST", "/v1/keys", body)
-        self.show_result(answer, [answer["key"]])
+        answer = self.call_first_reachable("POST", "/v1/keys", body)
+        self.print_result(answer, [answer["key"]])
         return 0
 
 
 class WithdrawCommand(OperatorCommand):
     name = "withdraw"
-    description = "Withdraw a key by its id."
+    description = "Withdraw an API key."
     help = "Example: cranberrywheel withdraw 4f1c22aa90b1"
-    arguments = [argument("key", "Id of the key, as 'show' prints it.")]
-    options = [ENTRY, TOKEN_FILE, JSON]
-
-    def work(self) -> int:
-        answer = self.first_answer("DELETE", f"/v1/keys/{self.argument('key')}")
-        confirmed, rest = answer.get("confirmed", []), answer.get("unconfirmed", [])
+    arguments = [argument("key", "Id of the key, as printed by 'show'.")]
+    options = [ENTRY_OPTION, TOKEN_FILE_OPTION, JSON_OPTION]
+
+    def run_command(self) -> int:
+        answer = self.call_first_reachable("DELETE", f"/v1/keys/{self.argument('key')}")
+        confirmed, unconfirmed = (
+            answer.get("confirmed", []),
+            answer.get("unconfirmed", []),
+        )
         stored = bool(answer.get("stored"))
         lines = ["withdrawn in the store" if stored else "the store is unavailable"]
         lines += [f"confirmed by {name}" for name in confirmed]
         lines += [
-            f"not confirmed by {name}; it stops authenticated requests within the "
-            "freshness bound unless it has the withdrawal by then"
-            for name in rest
+            f"not confirmed by {name}; unless it receives the withdrawal within the "
+            "freshness bound, it stops serving authenticated requests"
+            for name in unconfirmed
         ]
-        self.show_result(answer, lines)
-        # A mark alone must reach every entry: one that reads the store would take the
-        # key as granted. A stored withdrawal needs a second entry that knows it, or
-        # it is missed if its only holder dies as the store goes down.
-        complete = not rest or (stored and len(confirmed) > 1)
-        return 0 if complete else REFUSED
+        self.print_result(answer, lines)
+        # A revocation tombstone that is not in the store must reach every entry: one
+        # that reads the store would still accept the key. A stored withdrawal must be
+        # known to a second entry, or it is missed if the only entry that knows it dies
+        # while the store is down.
+        complete = not unconfirmed or (stored and len(confirmed) > 1)
+        return 0 if complete else EXIT_REFUSED
 
 
 class StatusCommand(OperatorCommand):
     name = "status"
-    description = "Print pools, teams and the version in force per instance."
+    description = "Print pools, teams and the version in force of each instance."
     help = "Example: cranberrywheel status --json"
-    options = [ENTRY, TOKEN_FILE, JSON]
+    options = [ENTRY_OPTION, TOKEN_FILE_OPTION, JSON_OPTION]
 
-    def work(self) -> int:
+    def run_command(self) -> int:
         statuses: dict[str, t.Any] = {}
-        for client in self.clients():
+        for client in self.build_clients():
             statuses[client.url] = (
                 client.call("GET", "/v1/status")
                 .lash(lambda error: Success({"error": error.message}))
                 .unwrap()
             )
-        lines = [*_status_lines(statuses), *self._wave_lines()]
-        self.show_result(statuses, lines)
-        return REFUSED if any("error" in s for s in statuses.values()) else 0
+        lines = [*_format_statuses(statuses), *self._describe_wave()]
+        self.print_result(statuses, lines)
+        return EXIT_REFUSED if any("error" in s for s in statuses.values()) else 0
 
-    def _wave_lines(self) -> list[str]:
-        """Return the current wave, as far as an instance can describe it."""
+    def _describe_wave(self) -> list[str]:
+        """Describe the current wave of moves and maintenance.
+
+        :returns: lines of text; none if no instance can tell the fleet's state or no
+            configuration text is in force.
+        """
         try:
-            fleet = self.first_answer("GET", "/v1/fleet")
-            shown = self.first_answer("GET", "/v1/configuration")
+            fleet = self.call_first_reachable("GET", "/v1/fleet")
+            configuration_answer = self.call_first_reachable("GET", "/v1/configuration")
         except OperatorCallError:
             return []
-        if not shown["text"]:
+        if not configuration_answer["text"]:
             return []
-        configuration = parse_configuration(shown["text"])
+        configuration = parse_configuration(configuration_answer["text"])
         now_ms = time.time_ns() // 1_000_000
-        return list(plan_lines(current_plan(configuration, fleet, now_ms)))
+        return list(format_plan(compute_plan(configuration, fleet, now_ms)))
 
 
-def _status_lines(statuses: dict[str, t.Any]) -> t.Iterator[str]:
+def _format_statuses(statuses: dict[str, t.Any]) -> t.Iterator[str]:
     for url, status in statuses.items():
         if "error" in status:
             yield f"{url}: {status['error']}"
@@ -211,12 +234,14 @@
             used = status["units_in_use_by_team"].get(team, 0)
             yield f"  team {team}: {used} units in use, {usable} free here"
         for pool, states in sorted(status["pools"].items()):
-            words = ", ".join(f"{n} {state}" for state, n in sorted(states.items()))
-            yield f"  pool {pool}: {words}"
+            summary = ", ".join(
+                f"{count} {state}" for state, count in sorted(states.items())
+            )
+            yield f"  pool {pool}: {summary}"
 
 
 def main() -> int:
-    """Run the command line."""
+    """Run the command line; returns the exit code."""
     application = Application("cranberrywheel", cranberrywheel.__version__)
     for command in (
         CheckCommand,
--- a/src/cranberrywheel/programs/operator_client.py
+++ b/src/cranberrywheel/programs/operator_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the operators' command line."""
+"""HTTP client that the operators' command line uses to call entry instances."""
 
 import dataclasses
 import io
@@ -10,13 +10,13 @@
 
 from cranberrywheel.errors import CranberrywheelError
 
-TIMEOUT_MS = 20_000
+CALL_TIMEOUT_MS = 20_000
 
 
 class OperatorCallError(CranberrywheelError):
     """An entry instance refused a call or could not be reached.
 
-    :param status: HTTP status, or 0 without an answer.
+    :param status: HTTP status of the answer, or 0 if there was no answer.
     """
 
     kind = "operator-call"
@@ -28,10 +28,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryClient:
-    """Calls one entry instance.
+    """Client of one entry instance.
 
     :param url: base URL of the instance.
-    :param token: the operators' bearer token.
+    :param token: bearer token of the operators.
     """
 
     url: str
@@ -44,18 +44,20 @@
         body: bytes | None = None,
         headers: t.Sequence[str] = (),
     ) -> Result[dict[str, t.Any], OperatorCallError]:
-        """Make one call.
+        """Send one request and wait for its answer.
 
+        :param path: path and query, appended to the base URL.
         :param body: request body, or ``None`` for none.
-        :returns: the JSON object of the answer, or a failure with the instance's
-            own message and remedy.
+        :param headers: further request headers, as ``Name: value``.
+        :returns: the JSON object of the answer, or a failure with the message and
+            remedy that the instance sent.
         """
         answer = io.BytesIO()
         curl = pycurl.Curl()
         curl.setopt(pycurl.URL, self.url.rstrip("/") + path)
         curl.setopt(pycurl.CUSTOMREQUEST, method)
         curl.setopt(pycurl.NOSIGNAL, 1)
-        curl.setopt(pycurl.TIMEOUT_MS, TIMEOUT_MS)
+        curl.setopt(pycurl.TIMEOUT_MS, CALL_TIMEOUT_MS)
         curl.setopt(pycurl.CONNECTTIMEOUT_MS, 2_000)
         curl.setopt(pycurl.WRITEFUNCTION, answer.write)
         if body is not None:
@@ -71,15 +73,15 @@
             return Failure(
                 OperatorCallError(
                     f"{self.url} did not answer: {error.args[1]}.",
-                    "Check --entry, or name another instance.",
+                    "Check the URL in --entry, or name another instance.",
                 )
             )
         finally:
             curl.close()
-        return _decode(self.url, status, answer.getvalue())
+        return _decode_answer(self.url, status, answer.getvalue())
 
 
-def _decode(
+def _decode_answer(
     url: str, status: int, data: bytes
 ) -> Result[dict[str, t.Any], OperatorCallError]:
     try:
@@ -89,8 +91,8 @@
     if not isinstance(body, dict):
         return Failure(
             OperatorCallError(
-                f"{url} answered with status {status} and no JSON.",
-                "Check that --entry names an entry instance.",
+                f"{url} answered with status {status} and no JSON object.",
+                "Check that --entry is the URL of an entry instance.",
                 status,
             )
         )
--- a/src/cranberrywheel/programs/plan_command.py
+++ b/src/cranberrywheel/programs/plan_command.py
@@ -1,4 +1,7 @@
-"""``cranberrywheel plan``: what would move or be maintained, and why not yet."""
+"""``cranberrywheel plan``: previews pool moves and maintenance.
+
+The preview also states why an instance is not moved or maintained yet.
+"""
 
 import time
 import typing as t
@@ -7,26 +10,27 @@
 from cranberrywheel.process.fleet_model import Plan
 from cranberrywheel.process.waves import plan_preview
 from cranberrywheel.programs.operator_command import (
-    ENTRY,
-    FILE,
-    JSON,
-    TOKEN_FILE,
+    ENTRY_OPTION,
+    FILE_ARGUMENT,
+    JSON_OPTION,
+    TOKEN_FILE_OPTION,
     OperatorCommand,
     read_configuration,
 )
 from cranberrywheel.version.configuration import Configuration
 
-#: Instances listed by name; the JSON output has all of them.
-MAX_LISTED = 20
+#: Waiting instances in the text output; the JSON output lists all of them.
+MAX_WAITS_SHOWN = 20
 
 
-def current_plan(
+def compute_plan(
     configuration: Configuration, fleet: t.Mapping[str, t.Any], now_ms: int
 ) -> Plan:
-    """Compute the plan for a fleet as an entry instance described it.
+    """Compute the plan for a configuration and the state of its fleet.
 
-    :param fleet: answer of ``GET /v1/fleet``, or an empty mapping.
-    :param now_ms: wall clock in milliseconds; 0 shows a full round.
+    :param fleet: answer of ``GET /v1/fleet``, or an empty mapping for a fleet whose
+        state is unknown.
+    :param now_ms: wall clock in milliseconds; 0 plans a full maintenance round.
     """
     listed = fleet.get("instance_list", {})
     rows = tuple(Instance(**row) for row in listed.get("instances", ()))
@@ -36,8 +40,8 @@
     )
 
 
-def plan_lines(plan: Plan) -> t.Iterator[str]:
-    """Return a plan as text for operators."""
+def format_plan(plan: Plan) -> t.Iterator[str]:
+    """Return a plan as lines of text for operators."""
     for name, state in sorted(plan.wave.items()):
         yield f"in the wave: {name} is {state}"
     for name, target in sorted(plan.take.items()):
@@ -49,33 +53,35 @@
     for name in plan.recall:
         yield f"recall: {name}"
     waits = sorted(plan.waits_by_name.items())
-    for name, reason in waits[:MAX_LISTED]:
+    for name, reason in waits[:MAX_WAITS_SHOWN]:
         yield f"waits: {name}: {reason}"
-    if len(waits) > MAX_LISTED:
-        yield f"waits: {len(waits) - MAX_LISTED} more; --json lists them"
+    if len(waits) > MAX_WAITS_SHOWN:
+        yield f"waits: {len(waits) - MAX_WAITS_SHOWN} more; --json lists them"
     for risk in plan.risks:
         yield f"risk: {risk}"
 
 
 class PlanCommand(OperatorCommand):
     name = "plan"
-    description = "Show what a text would move and maintain, without doing it."
+    description = (
+        "Preview moves and maintenance of a configuration text; changes nothing."
+    )
     help = "Example: cranberrywheel plan fleet.ini"
-    arguments = [FILE]
-    options = [ENTRY, TOKEN_FILE, JSON]
+    arguments = [FILE_ARGUMENT]
+    options = [ENTRY_OPTION, TOKEN_FILE_OPTION, JSON_OPTION]
 
-    def work(self) -> int:
+    def run_command(self) -> int:
         _, configuration = read_configuration(self.argument("file"))
         fleet: dict[str, t.Any] = {}
         now_ms = 0
         if self.option("entry"):
-            fleet = self.first_answer("GET", "/v1/fleet")
+            fleet = self.call_first_reachable("GET", "/v1/fleet")
             now_ms = time.time_ns() // 1_000_000
-        plan = current_plan(configuration, fleet, now_ms)
+        plan = compute_plan(configuration, fleet, now_ms)
         lines = [
             f"pool {pool}: {sum(zones.values())} workers, "
             f"up to {plan.sizing.wave_sizes_by_pool[pool]} out at once"
             for pool, zones in sorted(plan.sizing.counts.items())
         ]
-        self.show_result(plan.to_json(), [*lines, *plan_lines(plan)])
+        self.print_result(plan.to_json(), [*lines, *format_plan(plan)])
         return 0
--- a/src/cranberrywheel/programs/planner.py
+++ b/src/cranberrywheel/programs/planner.py
@@ -1,4 +1,4 @@
-"""``cranberrywheel-planner``: capacity and maintenance of one availability zone."""
+"""``cranberrywheel-planner``: plans capacity and maintenance of one zone."""
 
 import sys
 import threading
@@ -16,7 +16,9 @@
     description = "Plan capacity and maintenance of one availability zone."
     help = "Example: cranberrywheel-planner --settings /etc/cranberrywheel/planner.ini"
 
-    def create(self, path: str) -> tuple[t.Callable[[], None], t.Callable[[], None]]:
+    def build_daemon(
+        self, path: str
+    ) -> tuple[t.Callable[[], None], t.Callable[[], None]]:
         settings = load_planner_settings(path)
         stop = threading.Event()
 
@@ -30,7 +32,7 @@
 
 
 def main() -> int:
-    """Run the program."""
+    """Run the command line; returns the exit code."""
     return run_daemon("cranberrywheel-planner", PlannerCommand())
 
 
