--- a/src/cranberrywheel_load/soak.py
+++ b/src/cranberrywheel_load/soak.py
@@ -171,8 +171,8 @@
         """End all faults."""
         for proxy in (*self.executor_proxies, *self.store_proxies):
             proxy.set(Fault.NONE)
-        self.platform.refuses = False
-        self.platform.slow_ms = 0
+        self.platform.store_unavailable = False
+        self.platform.store_delay_ms = 0
         for number, node in enumerate(self.nodes):
             node.resume()
             self.hold_down(number, False)
@@ -258,8 +258,8 @@
         node.kill()
         later(lambda: deployment.hold_down(node_number, False))
     elif kind == "store-away":
-        platform.refuses = True
-        later(lambda: setattr(platform, "refuses", False))
+        platform.store_unavailable = True
+        later(lambda: setattr(platform, "store_unavailable", False))
     elif kind == "store-delay":
         store.set(Fault.DELAY, 0.15)
         later(lambda: store.set(Fault.NONE))
@@ -270,7 +270,7 @@
         executor.reset()
     elif kind == "executor-restart":
         with platform.lock:
-            platform.fleet.by_id[f"x{executor_number}"].restart()
+            platform.fleet.executors_by_id[f"x{executor_number}"].restart()
     else:
         executor.set(Fault(kind.removeprefix("executor-")))
         later(lambda: executor.set(Fault.NONE))
@@ -308,7 +308,7 @@
         platform = self._deployment.platform
         with platform.lock:
             duration_ms = self._rng.randint(100, 1_500)
-            platform.fleet.describe(client.submission_id, 1_000, duration_ms)
+            platform.fleet.set_task_profile(client.submission_id, 1_000, duration_ms)
         self.clients.append(client)
         for _ in range(3):
             front = self._rng.choice(self._deployment.fronts)
--- a/src/cranberrywheel_spec/pool_conformance.py
+++ b/src/cranberrywheel_spec/pool_conformance.py
@@ -72,7 +72,7 @@
     def control_instance(self, name: str, action: str, fence: int) -> bool:
         if self.lost:
             raise StoreUnavailableError("no answer", "wait")
-        if not self._platform.check_fence(name, fence):
+        if not self._platform.accept_fence(name, fence):
             return False
         self.drained = action != instance_lifecycle.PlatformAction.UNDRAIN
         return True
--- a/src/cranberrywheel_standin/direct_client.py
+++ b/src/cranberrywheel_standin/direct_client.py
@@ -23,11 +23,11 @@
         #: No call is answered.
         self.down = False
         #: Number of writes that take effect without an answer.
-        self.lose = 0
+        self.unanswered_writes = 0
         #: Writes get no answer and wait in ``delayed``, as if held up in the
         #: network; call an item to deliver it.
         self.delay_writes = False
-        self.delayed: list[t.Callable[[], t.Any]] = []
+        self.delayed_writes: list[t.Callable[[], t.Any]] = []
 
     def check(self) -> None:
         """Called by each call first; fails while the store is down."""
@@ -57,11 +57,11 @@
         self.check()
         send = lambda: self.platform.put(key, value, expected_revision, lease)
         if self.delay_writes:
-            self.delayed.append(send)
+            self.delayed_writes.append(send)
             raise StoreUnavailableError("The write got no answer.", "Read it back.")
         status, answer = send()
-        if self.lose > 0:
-            self.lose -= 1
+        if self.unanswered_writes > 0:
+            self.unanswered_writes -= 1
             raise StoreUnavailableError("The write got no answer.", "Read it back.")
         if status == 412:
             raise StoreConflictError(
--- a/src/cranberrywheel_standin/platform.py
+++ b/src/cranberrywheel_standin/platform.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass
-class Faults:
+class PlatformFaults:
     """Faults to bring about, set with ``PUT /v1/faults``.
 
     :param outage: answer nothing but 503.
@@ -66,7 +66,7 @@
         self._list_revision = 0
         self._snapshots: list[tuple[float, int, str]] = []
         self._fence_by_instance: dict[str, int] = {}
-        self.faults = Faults()
+        self.faults = PlatformFaults()
         self.counters_by_call: dict[str, int] = {}
 
     def count(self, call: str) -> None:
@@ -247,7 +247,7 @@
                 "instances": json.loads(shown[2]),
             }
 
-    def check_fence(self, instance: str, fence: int) -> bool:
+    def accept_fence(self, instance: str, fence: int) -> bool:
         """Accept a fencing number unless a higher one was seen."""
         with self.changed:
             if fence < self._fence_by_instance.get(instance, 0):
@@ -413,13 +413,13 @@
         row = self.platform.instances_by_id.get(name)
         if row is None:
             raise NotFound()
-        if not self.platform.check_fence(name, int(request.headers.get("Fence", 0))):
+        if not self.platform.accept_fence(name, int(request.headers.get("Fence", 0))):
             return self._json({}, 409)
         self._control_worker(row["address"], action)
         return self._json({})
 
     def _faults(self, request: werkzeug.Request) -> werkzeug.Response:
-        self.platform.faults = Faults(**request.json)
+        self.platform.faults = PlatformFaults(**request.json)
         with self.platform.changed:
             self.platform.changed.notify_all()
         return self._json({})
--- a/src/cranberrywheel_standin/platform_server.py
+++ b/src/cranberrywheel_standin/platform_server.py
@@ -72,8 +72,8 @@
         self.state = StoreState(loop.clock)
         self.fleet = VirtualFleet(t.cast(t.Any, loop), t.cast(t.Any, self.state))
         self.clock = loop.clock
-        self.refuses = False
-        self.slow_ms = 0
+        self.store_unavailable = False
+        self.store_delay_ms = 0
         self.host = host
         self._servers = [
             HttpServer(host, store_port, self._store_app, THREADS, MAX_BODY_BYTES),
@@ -112,7 +112,7 @@
         )
         executor = VirtualExecutor(self.clock, entry, self.fleet)
         with self.lock:
-            self.fleet.by_id[executor_id] = executor
+            self.fleet.executors_by_id[executor_id] = executor
             self.state.put(EXECUTOR_PREFIX + executor_id, encode_executor(entry))
 
         def app(environ: t.Any, start_response: t.Any) -> t.Any:
@@ -158,7 +158,7 @@
                 return _json({"reason": "fence"}, 409)
         while True:
             with self.lock:
-                executor.settle()
+                executor.end_due_runs()
                 if executor.ends or self.clock.now_ms() >= give_up_ms:
                     look = executor.look(OrderVerdict.OK)
                     break
@@ -182,9 +182,9 @@
 
     def _store_app(self, environ: t.Any, start_response: t.Any) -> t.Any:
         request = Request(environ)
-        if self.slow_ms:
-            time.sleep(self.slow_ms / 1000)
-        if self.refuses:
+        if self.store_delay_ms:
+            time.sleep(self.store_delay_ms / 1000)
+        if self.store_unavailable:
             return _json({}, 503)(environ, start_response)
         if request.path == "/api/kv-watch":
             response = self._watch(request)
@@ -199,7 +199,11 @@
         while True:
             with self.lock:
                 reply = self.state.events(prefix, after)
-            if reply.items or self.clock.now_ms() >= give_up_ms or self.refuses:
+            if (
+                reply.items
+                or self.clock.now_ms() >= give_up_ms
+                or self.store_unavailable
+            ):
                 events = [_encode_item(item) for item in reply.items]
                 return _json({"events": events, "asOf": reply.revision})
             time.sleep(POLL_S)
@@ -260,7 +264,7 @@
                     "labels": sorted(executor.entry.labels),
                     "id": executor.entry.id,
                 }
-                for executor in self.fleet.by_id.values()
+                for executor in self.fleet.executors_by_id.values()
             ]
         response = _json({"machines": rows, "nextPageToken": None})
         return response(environ, start_response)
--- a/src/cranberrywheel_standin/virtual_fleet.py
+++ b/src/cranberrywheel_standin/virtual_fleet.py
@@ -190,10 +190,10 @@
     def __init__(self, loop: VirtualLoop) -> None:
         super().__init__(loop.clock)
         self._loop = loop
-        self.away = False
+        self.unreachable = False
         self.delay_ms_by_prefix: dict[str, int] = {}
 
-    def as_store(self) -> Store:
+    def build_client(self) -> Store:
         """Return a client with the methods of the real one."""
         return t.cast(Store, VirtualStoreClient(self._loop, self))
 
@@ -212,7 +212,7 @@
         delay_ms: int = DELAY_MS,
     ) -> None:
         def arrive() -> None:
-            if self._store.away:
+            if self._store.unreachable:
                 self._loop.after(800, lambda: done(StoreReply(Outcome.UNKNOWN)))
                 return
             reply = work()
@@ -242,9 +242,9 @@
         def poll() -> None:
             late = self._loop.clock.now_ms() >= give_up_ms
             reply = self._store.events(prefix, after)
-            if self._store.away and late:
+            if self._store.unreachable and late:
                 done(StoreReply(Outcome.UNKNOWN))
-            elif not self._store.away and (reply.items or late):
+            elif not self._store.unreachable and (reply.items or late):
                 self._loop.after(DELAY_MS, lambda: done(reply))
             else:
                 self._loop.after(STEP_MS, poll)
@@ -291,10 +291,10 @@
         self._clock = clock
         self.entry = entry
         self._fleet = fleet
-        self.cut = False
-        self.mute_share = 0.0
-        self.fails = False
-        self.slowness = 1
+        self.isolated = False
+        self.unanswered_start_share = 0.0
+        self.fails_all_runs = False
+        self.slowdown_factor = 1
         self.fence = 0
         self.deadline_ms = 0
         self.boot = entry.boot
@@ -312,7 +312,7 @@
         """Cpu in use."""
         return sum(self._fleet.cpu_of(run.task) for run in self.runs.values())
 
-    def settle(self) -> None:
+    def end_due_runs(self) -> None:
         """Bring the runs up to the present moment."""
         now_ms = self._clock.now_ms()
         for run in sorted(self.runs.values(), key=lambda r: r.end_ms):
@@ -321,7 +321,10 @@
                 if run.stopping:
                     self._end(run, RunOutcome.STOPPED)
                 else:
-                    self._end(run, RunOutcome.FAILED if self.fails else RunOutcome.DONE)
+                    self._end(
+                        run,
+                        RunOutcome.FAILED if self.fails_all_runs else RunOutcome.DONE,
+                    )
         if now_ms > self.deadline_ms + self.boot:
             for run in list(self.runs.values()):
                 self._end(run, RunOutcome.EXPIRED)
@@ -346,7 +349,7 @@
 
     def start(self, order: StartOrder) -> OrderReply:
         """Carry out a start."""
-        self.settle()
+        self.end_due_runs()
         if order.fence < self.fence:
             return OrderReply(OrderVerdict.FENCED, self.clock_ms())
         self.fence = order.fence
@@ -364,7 +367,7 @@
         run = VirtualRun(
             order.task,
             order.number,
-            now_ms + self._fleet.duration_of(order.task) * self.slowness,
+            now_ms + self._fleet.duration_of(order.task) * self.slowdown_factor,
             now_ms,
         )
         self.runs[run.task, run.number] = run
@@ -373,7 +376,7 @@
 
     def stop(self, task: str, number: int, fence: int) -> OrderReply:
         """Carry out a stop."""
-        self.settle()
+        self.end_due_runs()
         if fence < self.fence:
             return OrderReply(OrderVerdict.FENCED, self.clock_ms())
         self.fence = fence
@@ -387,7 +390,7 @@
 
     def hold(self, fence: int, acknowledged: int, deadline_ms: int) -> OrderVerdict:
         """Take over fence, acknowledgement and lease of a look."""
-        self.settle()
+        self.end_due_runs()
         if fence < self.fence:
             return OrderVerdict.FENCED
         self.fence = fence
@@ -426,7 +429,7 @@
         self._loop = loop
         self._store = store
         self._random = random.Random(seed)
-        self.by_id: dict[str, VirtualExecutor] = {}
+        self.executors_by_id: dict[str, VirtualExecutor] = {}
         self.violations: list[str] = []
         self.rejections = 0
         self.starts = 0
@@ -440,7 +443,7 @@
         self.done_ms_by_task: dict[str, int] = {}
         self.started_tasks: set[str] = set()
         #: Submissions of which copies of a task may run side by side.
-        self.copies_allowed: set[str] = set()
+        self.speculative_submissions: set[str] = set()
 
     def add(
         self,
@@ -464,17 +467,17 @@
             boot=self._loop.clock.now_ms(),
         )
         executor = VirtualExecutor(self._loop.clock, entry, self)
-        self.by_id[executor_id] = executor
+        self.executors_by_id[executor_id] = executor
         self._store.put(EXECUTOR_PREFIX + executor_id, encode_executor(entry))
         return executor
 
-    def describe(
-        self, submission_id: str, cpu: int, duration_ms: int, lasting: bool = False
+    def set_task_profile(
+        self, submission_id: str, cpu: int, duration_ms: int, long_running: bool = False
     ) -> None:
         """Set the true size and duration of a submission's tasks."""
         self._cpu_by_step[submission_id] = cpu
         self._duration_by_step[submission_id] = duration_ms
-        if lasting:
+        if long_running:
             self._lasting.add(submission_id)
 
     def cpu_of(self, task: str) -> int:
@@ -496,10 +499,10 @@
         """Check the promises at a start."""
         self.starts += 1
         self.started_tasks.add(run.task)
-        for other in self.by_id.values():
-            other.settle()
+        for other in self.executors_by_id.values():
+            other.end_due_runs()
         running = self._running.setdefault(run.task, [])
-        if running and run.task.partition(".")[0] not in self.copies_allowed:
+        if running and run.task.partition(".")[0] not in self.speculative_submissions:
             self.violations.append(f"two runs of {run.task}")
         if run.task in self._acknowledged:
             self.violations.append(f"{run.task} started after its end was noted")
@@ -534,13 +537,13 @@
         lost: t.Any,
         mutable: bool = False,
     ) -> None:
-        executor = self.by_id[entry.id]
+        executor = self.executors_by_id[entry.id]
 
         def arrive() -> None:
-            if executor.cut:
+            if executor.isolated:
                 self._loop.after(700, lambda: done(lost))
                 return
-            if mutable and self._random.random() < executor.mute_share:
+            if mutable and self._random.random() < executor.unanswered_start_share:
                 late_ms = self._random.randint(2_000, 6_000)
                 self._loop.after(late_ms, lambda: work(executor))
                 self._loop.after(700, lambda: done(lost))
@@ -548,7 +551,7 @@
             reply = work(executor)
 
             def leave() -> None:
-                if executor.cut:
+                if executor.isolated:
                     self._loop.after(700, lambda: done(lost))
                 else:
                     done(reply)
@@ -594,11 +597,11 @@
     ) -> None:
         """See ``ExecutorClient.poll``."""
         self.looks += 1
-        executor = self.by_id[entry.id]
+        executor = self.executors_by_id[entry.id]
         give_up_ms = self._loop.clock.now_ms() + wait_ms
 
         def arrive() -> None:
-            if executor.cut:
+            if executor.isolated:
                 self._loop.after(
                     700 + wait_ms, lambda: done(PollReply(OrderVerdict.UNKNOWN))
                 )
@@ -610,10 +613,10 @@
                 self._loop.after(DELAY_MS, lambda: done(PollReply(verdict)))
 
         def poll() -> None:
-            if executor.cut:
+            if executor.isolated:
                 self._loop.after(700, lambda: done(PollReply(OrderVerdict.UNKNOWN)))
                 return
-            executor.settle()
+            executor.end_due_runs()
             if executor.ends or self._loop.clock.now_ms() >= give_up_ms:
                 look = executor.look(OrderVerdict.OK)
                 self._loop.after(DELAY_MS, lambda: done(look))
--- a/tests/leader_harness.py
+++ b/tests/leader_harness.py
@@ -132,7 +132,7 @@
         scheduler.set_configuration(self.configuration)
         self.leader = Leader(
             t.cast(t.Any, self.loop),
-            self.store.as_store(),
+            self.store.build_client(),
             t.cast(ExecutorClient, self.fleet),
             None,
             None,
@@ -157,7 +157,7 @@
         :param long_running: tasks run until they are stopped.
         """
         cpu = submission.steps[0].size.cpu
-        self.fleet.describe(submission.id, cpu, duration_ms, long_running)
+        self.fleet.set_task_profile(submission.id, cpu, duration_ms, long_running)
         self.store.put(submission_key(submission.id), encode_submission(submission))
 
     def cancel(self, submission_id: str) -> None:
--- a/tests/planner_fixtures.py
+++ b/tests/planner_fixtures.py
@@ -149,7 +149,7 @@
     def control_instance(self, instance, action, fence):
         if self.control_outage:
             raise StoreUnavailableError("No answer.")
-        accepted = self.platform.check_fence(instance, fence)
+        accepted = self.platform.accept_fence(instance, fence)
         if accepted:
             self.actions.append((instance, str(action)))
         return accepted
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -67,7 +67,7 @@
     harness.start_leader()
     harness.run_for(500)
     harness.store.delete("servers/b")
-    harness.fleet.by_id["b"].cut = True
+    harness.fleet.executors_by_id["b"].isolated = True
     harness.run_for(12_000)
     harness.submit(make_submission("s1", make_step(4)), 500)
     harness.run_for(700)
@@ -85,7 +85,7 @@
     harness.start_leader()
     harness.submit(make_submission("s1", make_step(3)), 300)
     harness.run_for(400)
-    harness.fleet.by_id["x"].cut = True
+    harness.fleet.executors_by_id["x"].isolated = True
     harness.start_leader()
     harness.run_for(1_500)
     assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
@@ -99,9 +99,9 @@
     harness.start_leader()
     harness.submit(make_submission("s1", make_step(6)), 3_000)
     harness.run_for(1_000)
-    harness.fleet.by_id["a"].cut = True
+    harness.fleet.executors_by_id["a"].isolated = True
     harness.run_for(9_000)
-    harness.fleet.by_id["a"].cut = False
+    harness.fleet.executors_by_id["a"].isolated = False
     harness.run_for(6_000)
     assert harness.fleet.violations == []
     assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
@@ -111,7 +111,7 @@
     """Guards against starts that take effect seconds late, after a start elsewhere."""
     harness = LeaderHarness(monkeypatch, seed=7)
     for name in "abc":
-        harness.fleet.add(name, "pool").mute_share = 0.3
+        harness.fleet.add(name, "pool").unanswered_start_share = 0.3
     harness.start_leader()
     for index in range(10):
         harness.submit(make_submission(f"s{index}", make_step(3)), 700)
@@ -133,7 +133,7 @@
     harness.start_leader()
     harness.submit(make_submission("s1", make_step(2)), 1_000)
     harness.run_for(500)
-    harness.fleet.by_id["a"].restart()
+    harness.fleet.executors_by_id["a"].restart()
     harness.run_for(4_500)
     assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
     assert harness.fleet.violations == []
@@ -159,7 +159,7 @@
     """Guards against a submission that can never complete and is retried for ever."""
     harness = LeaderHarness(monkeypatch)
     for name in "abcd":
-        harness.fleet.add(name, "pool").fails = True
+        harness.fleet.add(name, "pool").fails_all_runs = True
     harness.start_leader()
     harness.submit(make_submission("s1", make_step(1)), 200)
     harness.run_for(6_000)
@@ -200,7 +200,7 @@
     harness.submit(make_submission("s1", make_step(1)), 2_000)
     harness.run_for(500)
     harness.fleet.add("b", "pool")
-    harness.fleet.by_id["a"].cut = True
+    harness.fleet.executors_by_id["a"].isolated = True
     harness.run_for(4_500 + 2_100)
     assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
 
@@ -220,7 +220,7 @@
         for executor in harness.scheduler.executors_by_id.values()
         if executor.runs
     ]
-    harness.fleet.by_id[executors[0].id].cut = True
+    harness.fleet.executors_by_id[executors[0].id].isolated = True
     harness.run_for(3_000)
     executors[1].cordoned = True
     pool = list(harness.scheduler.executors_by_id.values())
@@ -239,12 +239,12 @@
     harness.start_leader()
     harness.submit(make_submission("s1", make_step(4)), 400)
     harness.run_for(100)
-    harness.fleet.by_id["b"].cut = True
+    harness.fleet.executors_by_id["b"].isolated = True
     harness.run_for(200)
     harness.hand_over()
     harness.run_for(1_900)
     assert len(harness.fleet.done_ms_by_task) == 4
-    harness.fleet.by_id["b"].cut = False
+    harness.fleet.executors_by_id["b"].isolated = False
     harness.run_for(6_000)
     assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
     assert harness.fleet.violations == []
@@ -264,7 +264,7 @@
     harness.run_for(200)
     harness.submit(make_submission("s1", make_step(2)), 1_500)
     harness.run_for(300)
-    harness.fleet.by_id["a"].cut = True
+    harness.fleet.executors_by_id["a"].isolated = True
     harness.fleet.add("b", "pool")
     harness.start_leader()
     harness.run_for(8_000)
@@ -285,7 +285,7 @@
     harness.submit(make_submission("s1", make_step(2)), 1_000)
     harness.submit(make_submission("s2", make_step(1)), 200)
     harness.run_for(300)
-    harness.fleet.by_id["b"].cut = True
+    harness.fleet.executors_by_id["b"].isolated = True
     harness.start_leader()
     harness.run_for(1_500)
     assert harness.scheduler.get_state("s2") is SubmissionState.COMPLETED
@@ -306,11 +306,11 @@
     harness.leader._may_continue_without_store = lambda: True
     harness.submit(make_submission("s1", make_step(2)), 2_500)
     harness.run_for(20)
-    harness.store.away = True
+    harness.store.unreachable = True
     harness.run_for(300)
     assert harness.fleet.starts == 2
-    harness.store.away = False
-    harness.fleet.by_id["a"].cut = True
+    harness.store.unreachable = False
+    harness.fleet.executors_by_id["a"].isolated = True
     harness.fleet.add("b", "pool")
     harness.start_leader().scheduler.trusts_records = False
     harness.run_for(9_000)
@@ -332,11 +332,11 @@
     harness.leader._write_changes = lambda: None
     harness.run_for(400)
     assert len(harness.fleet.done_ms_by_task) == 2
-    harness.fleet.by_id["a"].cut = True
+    harness.fleet.executors_by_id["a"].isolated = True
     harness.fleet.add("b", "pool")
     harness.hand_over()
     harness.run_for(3_000)
-    harness.fleet.by_id["a"].cut = False
+    harness.fleet.executors_by_id["a"].isolated = False
     harness.run_for(3_000)
     assert harness.fleet.starts == 2
     assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
@@ -347,10 +347,10 @@
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool")
     harness.start_leader()
-    harness.fleet.copies_allowed.add("s1")
+    harness.fleet.speculative_submissions.add("s1")
     harness.submit(make_submission("s1", make_step(2, speculative=True)), 600)
     harness.run_for(200)
-    harness.fleet.by_id["a"].cut = True
+    harness.fleet.executors_by_id["a"].isolated = True
     harness.fleet.add("b", "pool")
     harness.run_for(3_000)
     assert harness.scheduler.get_state("s1") is SubmissionState.COMPLETED
@@ -359,7 +359,7 @@
 def test_task_with_checkpoints_leaves_a_slow_executor(monkeypatch):
     """Guards against tasks that stay on an executor at a sixth of its speed."""
     harness = LeaderHarness(monkeypatch)
-    harness.fleet.add("slow", "pool", cpu=8_000).slowness = 8
+    harness.fleet.add("slow", "pool", cpu=8_000).slowdown_factor = 8
     harness.start_leader()
     for index in range(3):
         step = make_step(2, checkpointing=True)
@@ -385,7 +385,7 @@
     harness.start_leader()
     harness.submit(make_submission("s1", make_step(1)), 9_000)
     harness.run_for(500)
-    harness.fleet.by_id["a"].cut = True
+    harness.fleet.executors_by_id["a"].isolated = True
     harness.fleet.add("b", "pool", cpu=1_000)
     harness.start_leader()
     harness.run_for(800)
@@ -407,7 +407,7 @@
     harness.start_leader()
     harness.submit(make_submission("s1", make_step(1)), 3_000)
     harness.run_for(500)
-    harness.fleet.by_id["a"].cut = True
+    harness.fleet.executors_by_id["a"].isolated = True
     harness.fleet.add("b", "pool", cpu=1_000)
     harness.store.delay_ms_by_prefix["cw/j/"] = 100
     harness.hand_over()
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -28,7 +28,7 @@
         self.candidates = [
             Leadership(
                 t.cast(t.Any, self.loop),
-                self.store.as_store(),
+                self.store.build_client(),
                 Candidate(f"p{index}", f"a{index}", capacity),
                 lambda index=index: max(
                     (
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -114,18 +114,18 @@
 def test_cancelled_submission_stops_its_tasks(deployment):
     """Guards against tasks that keep running after the cancellation."""
     platform = deployment.platform
-    platform.fleet.describe("00000000000000c1", 1_000, 60_000)
+    platform.fleet.set_task_profile("00000000000000c1", 1_000, 60_000)
     assert submit(deployment, "00000000000000c1", SUBMISSION)[0] == 200
     time.sleep(0.5)
     assert call("DELETE", deployment.fronts[2], PREFIX + "00000000000000c1")[0] == 200
     deadline_s = time.monotonic() + 5
     while time.monotonic() < deadline_s:
         with platform.lock:
-            for executor in platform.fleet.by_id.values():
-                executor.settle()
+            for executor in platform.fleet.executors_by_id.values():
+                executor.end_due_runs()
             running = [
                 key
-                for executor in platform.fleet.by_id.values()
+                for executor in platform.fleet.executors_by_id.values()
                 for key in executor.runs
             ]
         if not running:
@@ -138,7 +138,7 @@
 def test_killed_leader_is_replaced(deployment):
     """Guards against work that no leader continues after the leader was killed."""
     platform = deployment.platform
-    platform.fleet.describe("00000000000000d1", 1_000, 1_500)
+    platform.fleet.set_task_profile("00000000000000d1", 1_000, 1_500)
     assert submit(deployment, "00000000000000d1", SUBMISSION)[0] == 200
     for node in deployment.nodes[:2]:
         node.kill()
--- a/tests/test_scheduling_pass.py
+++ b/tests/test_scheduling_pass.py
@@ -55,7 +55,7 @@
     The reported length was 1 while 5 submissions were waiting.
     """
     harness = LeaderHarness(monkeypatch)
-    harness.fleet.add("x", "pool").mute_share = 1.0
+    harness.fleet.add("x", "pool").unanswered_start_share = 1.0
     harness.start_leader()
     harness.run_for(300)
     harness.submit(make_submission("s1"))
--- a/tests/test_store_session.py
+++ b/tests/test_store_session.py
@@ -65,11 +65,11 @@
 
     def test_lost_answer_is_read_back(self):
         """A write whose answer was lost must not be reported as a conflict."""
-        self.a.clients[0].lose = 1
+        self.a.clients[0].unanswered_writes = 1
         answer = self.a.apply(TEXT, 0)
         self.group.run(4_000)
         self.assertEqual(1, answer.result(0))
-        self.a.clients[0].lose = 1
+        self.a.clients[0].unanswered_writes = 1
         key = self.a.grant("t")
         self.group.run(4_000)
         key_id = key.result(0).partition(".")[0]
@@ -85,7 +85,7 @@
         client.delay_writes = False
         self.group.run(4_000)
         self.assertIsInstance(answer.exception(0), VersionConflictError)
-        client.delayed[0]()
+        client.delayed_writes[0]()
         self.group.run(4_000)
         team = self.b.exchange.holder.snapshot.configuration.teams_by_name["t"]
         self.assertEqual(8, team.limit)
@@ -179,7 +179,7 @@
 
     def test_lost_registration_answer_is_not_a_conflict(self):
         """An entry must count as registered although the store's answer was lost."""
-        self.a.clients[0].lose = 1
+        self.a.clients[0].unanswered_writes = 1
         self.group.run(1_000)
         key = f"entries/{self.a.process_id}"
         value = json.loads(self.group.platform.get(key).value)
--- a/tests/test_store_session_network.py
+++ b/tests/test_store_session_network.py
@@ -14,7 +14,7 @@
 from cranberrywheel.process.messages import ApplyText, GrantKey, Stop, WithdrawKey
 from cranberrywheel.process.store_session import StoreSession
 from cranberrywheel.settings import PlatformSettings
-from cranberrywheel_standin.platform import Faults, Platform, PlatformApp
+from cranberrywheel_standin.platform import Platform, PlatformApp, PlatformFaults
 
 
 class StoreSessionNetworkTest(testtools.TestCase):
@@ -73,6 +73,6 @@
         self.assertEqual(["limits/a b"], [r.key for r in client.list("limits/")])
         error = self.assertRaises(StoreConflictError, client.put, "limits/a b", "", 9)
         self.assertEqual(revision, error.revision)
-        self.platform.faults = Faults(lose_answers=1)
+        self.platform.faults = PlatformFaults(lose_answers=1)
         self.assertRaises(StoreUnavailableError, client.put, "k", json.dumps({}), 0)
         self.assertEqual("{}", client.get("k").value)
--- a/tests/test_unit_keeper.py
+++ b/tests/test_unit_keeper.py
@@ -58,7 +58,7 @@
         a.waiting_by_team = {"t": 12}
         for round_number in range(60):
             giver = group.entries[1 + round_number % 2]
-            giver.clients[0].lose = a.clients[0].lose = 1
+            giver.clients[0].unanswered_writes = a.clients[0].unanswered_writes = 1
             group.run(500, check=lambda: self.check_sums(group))
         self.assertEqual(10, len(a.tasks))
 
@@ -76,7 +76,7 @@
         group.run(6_000, check=lambda: self.check_sums(group))
         b.clients[0].delay_writes = False
         b.waiting_by_team = {"t": 12}
-        for send in b.clients[0].delayed:
+        for send in b.clients[0].delayed_writes:
             send()
             group.run(3_000, check=lambda: self.check_sums(group))
         self.assertEqual(LIMIT, group.running_total())
@@ -238,7 +238,7 @@
     def repair(self, entry):
         entry.set_down(False)
         entry.paused = entry.cut_off = entry.clients[0].delay_writes = False
-        delayed, entry.clients[0].delayed = entry.clients[0].delayed, []
+        delayed, entry.clients[0].delayed_writes = entry.clients[0].delayed_writes, []
         self.rng.shuffle(delayed)
         for send in delayed:
             send()
@@ -247,14 +247,22 @@
         rng = self.rng
         entry = rng.choice(self.group.entries)
         fault = rng.choices(
-            ["", "paused", "down", "cut_off", "lose", "delay_writes", "replace"],
+            [
+                "",
+                "paused",
+                "down",
+                "cut_off",
+                "unanswered_writes",
+                "delay_writes",
+                "replace",
+            ],
             [91, 2, 2, 0.5, 2, 1.5, 1],
         )[0]
         if fault == "replace":
             self.group.replace(self.group.entries.index(entry), f"s{second}")
         elif fault == "down":
             entry.set_down(True)
-        elif fault in ("lose", "delay_writes"):
+        elif fault in ("unanswered_writes", "delay_writes"):
             setattr(entry.clients[0], fault, True)
         elif fault:
             setattr(entry, fault, True)
