--- a/src/cranberrywheel_standin/__init__.py
+++ b/src/cranberrywheel_standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and for workers, used by tests and the demo."""
+"""Stand-ins for the platforms and for workers, used by tests and local runs."""
--- a/src/cranberrywheel_standin/direct_client.py
+++ b/src/cranberrywheel_standin/direct_client.py
@@ -1,4 +1,4 @@
-"""Store client that calls the platform stand-in in the same process."""
+"""Store client that calls a platform stand-in in the same process."""
 
 import dataclasses
 import typing as t
@@ -13,26 +13,26 @@
 
 
 class DirectStoreClient:
-    """Calls the platform stand-in without a network; has faults to set.
+    """Calls the platform stand-in without a network and injects faults.
 
-    :param platform: the stand-in's state.
+    :param platform: state of the stand-in.
     """
 
     def __init__(self, platform: Platform) -> None:
         self.platform = platform
-        #: No call is answered.
+        #: Whether all calls fail.
         self.down = False
-        #: Number of writes that take effect without an answer.
+        #: Number of coming writes that take effect but get no answer.
         self.unanswered_writes = 0
-        #: Writes get no answer and wait in ``delayed``, as if held up in the
-        #: network; call an item to deliver it.
+        #: Whether writes get no answer and are kept in ``delayed_writes``, as if they
+        #: were still in the network; calling an item delivers it.
         self.delay_writes = False
         self.delayed_writes: list[t.Callable[[], t.Any]] = []
 
-    def check(self) -> None:
-        """Called by each call first; fails while the store is down."""
+    def raise_if_down(self) -> None:
+        """Raise an error while the store is down; every call begins with this."""
         if self.down:
-            raise StoreUnavailableError("The store is down.", "Wait.")
+            raise StoreUnavailableError("The store is down.", "Retry when it is back.")
 
     def close(self) -> None:
         pass
@@ -40,7 +40,7 @@
     def get(
         self, key: str, newer_than: int = 0, wait_ms: int = 0
     ) -> Record | None | t.Literal["unchanged"]:
-        self.check()
+        self.raise_if_down()
         entry = self.platform.get(key)
         if entry is None:
             return None
@@ -49,45 +49,51 @@
         return Record(key, entry.value, entry.revision)
 
     def list(self, prefix: str) -> list[Record]:
-        self.check()
+        self.raise_if_down()
         rows = self.platform.list(prefix)
         return [Record(r["key"], r["value"], r["revision"]) for r in rows]
 
     def put(self, key: str, value: str, expected_revision: int, lease: str = "") -> int:
-        self.check()
-        send = lambda: self.platform.put(key, value, expected_revision, lease)
+        self.raise_if_down()
+        send_write = lambda: self.platform.put(key, value, expected_revision, lease)
         if self.delay_writes:
-            self.delayed_writes.append(send)
-            raise StoreUnavailableError("The write got no answer.", "Read it back.")
-        status, answer = send()
+            self.delayed_writes.append(send_write)
+            raise StoreUnavailableError(
+                "The write got no answer.",
+                "Read the key to see whether it took effect.",
+            )
+        status, answer = send_write()
         if self.unanswered_writes > 0:
             self.unanswered_writes -= 1
-            raise StoreUnavailableError("The write got no answer.", "Read it back.")
+            raise StoreUnavailableError(
+                "The write got no answer.",
+                "Read the key to see whether it took effect.",
+            )
         if status == 412:
             raise StoreConflictError(
-                f"{key} has another revision.", "Read it.", answer["revision"]
+                f"{key} has another revision.", "Read it again.", answer["revision"]
             )
         if status == 404:
-            raise LeaseLostError("The lease has lapsed.", "Grant one.")
+            raise LeaseLostError("The lease has expired.", "Request a new lease.")
         return answer["revision"]
 
     def grant_lease(self, ttl_ms: int) -> str:
-        self.check()
+        self.raise_if_down()
         return self.platform.grant_lease(ttl_ms)
 
     def renew_lease(self, lease: str) -> None:
-        self.check()
+        self.raise_if_down()
         if not self.platform.renew_lease(lease):
-            raise LeaseLostError("The lease has lapsed.", "Grant one.")
+            raise LeaseLostError("The lease has expired.", "Request a new lease.")
 
     def revoke_lease(self, lease: str) -> None:
-        self.check()
+        self.raise_if_down()
         self.platform.revoke_lease(lease)
 
     def instances(self) -> InstanceList:
-        self.check()
+        self.raise_if_down()
         listed = self.platform.instance_list()
-        names = {f.name for f in dataclasses.fields(Instance)}
+        names = {field.name for field in dataclasses.fields(Instance)}
         rows = tuple(
             Instance(
                 instance_id=r["id"],
--- a/src/cranberrywheel_standin/history.py
+++ b/src/cranberrywheel_standin/history.py
@@ -11,7 +11,7 @@
 class HistoryWriter:
     """Appends events as JSON lines; safe to use from several threads.
 
-    Each line is flushed, so that a killed process loses at most its last line.
+    Each line is flushed, so that a process that is killed loses at most its last line.
 
     :param path: file to append to, or ``""`` to write nothing.
     """
@@ -21,10 +21,10 @@
         self._file = open(path, "a", encoding="utf-8") if path else None
 
     def write(self, event: str, **fields: t.Any) -> None:
-        """Write one event with the present reading of the monotonic clock."""
+        """Write one event with the current time of the monotonic clock."""
         if self._file is None:
             return
-        # Read under the lock: lines are then in the order of their readings.
+        # The clock is read under the lock, so that the lines are in order of time.
         with self._lock:
             at_ms = time.monotonic_ns() / 1e6
             line = json.dumps({"event": event, "at_ms": at_ms, **fields})
@@ -32,11 +32,11 @@
             self._file.flush()
 
 
-def task_recorder(history: HistoryWriter) -> t.Callable[[str, str, Task], None]:
-    """Return a function that writes task starts and ends of workers."""
+def build_task_recorder(history: HistoryWriter) -> t.Callable[[str, str, Task], None]:
+    """Build a function that writes starts and ends of tasks on workers."""
 
     def record(event: str, worker: str, task: Task) -> None:
-        # A task id is unique per worker only: a retry elsewhere may repeat it.
+        # Task ids are unique per worker only: a retry on another worker may reuse one.
         fields = {"worker": worker, "task": f"{worker}/{task.order.task_id}"}
         if event == "task_start":
             order = task.order
@@ -49,8 +49,8 @@
     return record
 
 
-def state_recorder(history: HistoryWriter) -> t.Callable[[str, str], None]:
-    """Return a function that writes when instances leave or return."""
+def build_state_recorder(history: HistoryWriter) -> t.Callable[[str, str], None]:
+    """Build a function that writes when instances leave or return."""
 
     def record(instance: str, state: str) -> None:
         event = "leaving" if state == "leaving" else "returned"
@@ -59,8 +59,8 @@
     return record
 
 
-def write_recorder(history: HistoryWriter) -> t.Callable[[str, str, int], None]:
-    """Return a function that writes unit and pool records of the store."""
+def build_write_recorder(history: HistoryWriter) -> t.Callable[[str, str, int], None]:
+    """Build a function that writes quota unit and pool records of the store."""
 
     def record(key: str, value: str, revision: int) -> None:
         kind, _, name = key.partition("/")
@@ -68,7 +68,7 @@
             return
         body = json.loads(value)["body"]
         if kind == "limits":
-            # The record leaves out counts of zero.
+            # The record omits counts of zero.
             held = {
                 holder: row.get("long", 0) + row.get("short", 0)
                 for holder, row in body.get("holders", {}).items()
@@ -77,11 +77,11 @@
             fields = {"team": name, "limit": limit, "held_by_holder": held}
             history.write("units", revision=revision, **fields)
             return
-        placed = {
+        assignments = {
             instance: {"pool": row["pool"], "state": row["state"]}
             for instance, row in body["instances"].items()
         }
-        fields = {"zone": name, "fence": body["fence"], "instances": placed}
+        fields = {"zone": name, "fence": body["fence"], "instances": assignments}
         history.write("pool_record", revision=revision, **fields)
 
     return record
--- a/src/cranberrywheel_standin/http_call.py
+++ b/src/cranberrywheel_standin/http_call.py
@@ -1,4 +1,4 @@
-"""One JSON call over HTTP, for the stand-ins and the load tool."""
+"""JSON calls over HTTP, for the stand-ins and the load tool."""
 
 import io
 import json
@@ -10,7 +10,7 @@
 
 
 class NoAnswerError(Exception):
-    """A call was not answered completely."""
+    """A call got no complete answer."""
 
 
 def call_json(
@@ -20,10 +20,11 @@
     headers: t.Sequence[str] = (),
     timeout_ms: int = CALL_TIMEOUT_MS,
 ) -> tuple[int, t.Any]:
-    """Send JSON, or text as it is, and read a JSON answer.
+    """Send a request with a JSON body and read the JSON answer.
 
-    :returns: status and parsed body; text if it is no JSON.
-    :raises NoAnswerError: if no complete answer came in time.
+    :param body: JSON value, text to send unchanged, or ``None`` for no body.
+    :returns: HTTP status and parsed body; the body as text if it is no JSON.
+    :raises NoAnswerError: if no complete answer arrives within ``timeout_ms``.
     """
     answer = io.BytesIO()
     curl = pycurl.Curl()
--- a/src/cranberrywheel_standin/main.py
+++ b/src/cranberrywheel_standin/main.py
@@ -13,9 +13,9 @@
 
 from cranberrywheel_standin.history import (
     HistoryWriter,
-    state_recorder,
-    task_recorder,
-    write_recorder,
+    build_state_recorder,
+    build_task_recorder,
+    build_write_recorder,
 )
 from cranberrywheel_standin.http_call import NoAnswerError, call_json
 from cranberrywheel_standin.platform import Platform, PlatformApp
@@ -23,14 +23,14 @@
 from cranberrywheel_standin.worker import Task, Worker, WorkerConfig
 from cranberrywheel_standin.worker_app import WorkerApp
 
-SIGNAL_POLL_S = 0.2
+SIGNAL_POLL_INTERVAL_S = 0.2
 
 
-def control_worker(address: str, action: str) -> None:
-    """Pass a drain, undrain or reboot on to a worker.
+def send_worker_action(address: str, action: str) -> None:
+    """Send a drain, undrain or reboot to a worker.
 
-    A worker that does not answer is logged only: the platform has accepted the
-    action, and the planner sees the worker's state itself.
+    If the worker does not answer, this is only logged: the platform has accepted the
+    action, and the planner reads the state of the worker itself.
     """
     try:
         call_json("POST", f"http://{address}/v1/control/{action}", {})
@@ -42,8 +42,8 @@
     stopped = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stopped.set())
-    # A wait without a bound would miss a signal that another thread received.
-    while not stopped.wait(SIGNAL_POLL_S):
+    # A wait without a time limit would miss a signal that another thread received.
+    while not stopped.wait(SIGNAL_POLL_INTERVAL_S):
         pass
 
 
@@ -51,21 +51,33 @@
     """Runs the platform stand-in."""
 
     name = "platform"
-    description = "Run the key-value service, instance list and pools."
+    description = "Run the key-value service and the instance list."
     options = [
         option(
-            "host", None, "IP number to listen on.", flag=False, default="127.0.0.1"
+            "host", None, "IP address to listen on.", flag=False, default="127.0.0.1"
+        ),
+        option(
+            "port",
+            None,
+            "Port to listen on; 0 picks a free one.",
+            flag=False,
+            default="0",
+        ),
+        option(
+            "history",
+            None,
+            "History file for store records and instance states.",
+            flag=False,
         ),
-        option("port", None, "Port; 0 picks one.", flag=False, default="0"),
-        option("history", None, "File for records and instance states.", flag=False),
     ]
 
     def handle(self) -> int:
         history = HistoryWriter(self.option("history") or "")
         platform = Platform(
-            on_write=write_recorder(history), on_state=state_recorder(history)
+            on_write=build_write_recorder(history),
+            on_state=build_state_recorder(history),
         )
-        app = PlatformApp(platform, control_worker)
+        app = PlatformApp(platform, send_worker_action)
         server = Server(self.option("host"), int(self.option("port")), app)
         server.start()
         print(f"platform listening on {server.address}", flush=True)
@@ -73,8 +85,8 @@
         return 0
 
 
-def load_configs(path: str) -> list[WorkerConfig]:
-    """Read a JSON list of workers; keys are the fields of ``WorkerConfig``."""
+def load_worker_configs(path: str) -> list[WorkerConfig]:
+    """Read a JSON list of workers with the fields of ``WorkerConfig``."""
     with open(path, encoding="utf-8") as file:
         return [WorkerConfig(**row) for row in json.load(file)]
 
@@ -85,7 +97,10 @@
     record: t.Callable[[str, str, Task], None],
     checkpoints: dict[str, float],
 ) -> Server:
-    """Serve one worker and enter it in the platform's instance list."""
+    """Start one worker and register it in the platform's instance list.
+
+    :param platform_url: base URL of the platform; empty to skip the registration.
+    """
     worker = Worker(config, record=record, checkpoints=checkpoints)
     server = Server(config.host, config.port, WorkerApp(worker))
     server.start()
@@ -110,20 +125,25 @@
     name = "worker"
     description = "Run one worker, or all workers of a JSON file."
     options = [
-        option("config", None, "JSON list of workers.", flag=False),
+        option("config", None, "JSON file with a list of workers.", flag=False),
         option("platform", None, "Base URL of the platform.", flag=False, default=""),
-        option("history", None, "File for task events.", flag=False),
+        option("history", None, "History file for task events.", flag=False),
         *(
-            option(f.name.replace("_", "-"), None, "One worker: see --config.", False)
+            option(
+                f.name.replace("_", "-"),
+                None,
+                "Field of a single worker; see --config.",
+                False,
+            )
             for f in dataclasses.fields(WorkerConfig)
             if f.name not in ("name", "addresses")
         ),
-        option("name", None, "One worker: its name.", flag=False),
+        option("name", None, "Name of a single worker.", flag=False),
     ]
 
     def handle(self) -> int:
         checkpoints: dict[str, float] = {}
-        record = task_recorder(HistoryWriter(self.option("history") or ""))
+        record = build_task_recorder(HistoryWriter(self.option("history") or ""))
         for config in self._configs():
             server = start_worker(config, self.option("platform"), record, checkpoints)
             print(f"worker {config.name} listening on {server.address}", flush=True)
@@ -133,7 +153,7 @@
 
     def _configs(self) -> list[WorkerConfig]:
         if self.option("config"):
-            return load_configs(self.option("config"))
+            return load_worker_configs(self.option("config"))
         values = {}
         for field in dataclasses.fields(WorkerConfig):
             if field.name == "addresses":
--- a/src/cranberrywheel_standin/platform.py
+++ b/src/cranberrywheel_standin/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: key-value service, leases, instances and pools."""
+"""Stand-in for the platform: key-value service, leases and instance list."""
 
 import dataclasses
 import itertools
@@ -15,8 +15,11 @@
 
 
 @dataclasses.dataclass
-class Entry:
-    """One value of the key-value service."""
+class StoredEntry:
+    """One value of the key-value service.
+
+    :param lease: id of the lease with which the value expires; empty for none.
+    """
 
     value: str
     revision: int
@@ -25,12 +28,13 @@
 
 @dataclasses.dataclass
 class PlatformFaults:
-    """Faults to bring about, set with ``PUT /v1/faults``.
+    """Injected faults of the platform, set with ``PUT /v1/faults``.
 
-    :param outage: answer nothing but 503.
-    :param slow_ms: delay of each call.
-    :param lose_answers: how many of the next writes take effect unanswered.
-    :param list_lag_ms: how far the instance list lags behind.
+    :param outage: all calls are answered with 503.
+    :param slow_ms: additional delay of each call.
+    :param lose_answers: number of coming writes that take effect but are answered
+        with 503.
+    :param list_lag_ms: age of the instance list that is shown.
     """
 
     outage: bool = False
@@ -42,9 +46,9 @@
 class Platform:
     """State of the platform behind its HTTP service.
 
-    :param now_s: clock reading in seconds; replaceable in tests.
+    :param now_s: clock in seconds; tests replace it.
     :param on_write: called with key, value and revision of each write.
-    :param on_state: called with id and state when the list shows a new state.
+    :param on_state: called with id and new state when an instance's state changes.
     """
 
     def __init__(
@@ -55,50 +59,59 @@
     ) -> None:
         self._now_s = now_s
         self._on_write = on_write
-        self._on_state = on_state
+        self._on_state_change = on_state
         self.changed = threading.Condition()
-        self.entries_by_key: dict[str, Entry] = {}
-        self._lease_ends_by_id: dict[str, tuple[float, int]] = {}
+        self.entries_by_key: dict[str, StoredEntry] = {}
+        self._lease_times_by_id: dict[str, tuple[float, int]] = {}
         self._revision = 0
         self._revision_by_key: dict[str, int] = {}
         self._ids = itertools.count(1)
         self.instances_by_id: dict[str, dict[str, t.Any]] = {}
         self._list_revision = 0
         self._snapshots: list[tuple[float, int, str]] = []
-        self._fence_by_instance: dict[str, int] = {}
+        self._highest_fence_by_instance: dict[str, int] = {}
         self.faults = PlatformFaults()
-        self.counters_by_call: dict[str, int] = {}
+        self.count_by_call: dict[str, int] = {}
 
-    def count(self, call: str) -> None:
-        """Count one call."""
+    def count_call(self, call: str) -> None:
+        """Count one call of a kind, for ``GET /v1/counters``."""
         with self.changed:
-            self.counters_by_call[call] = self.counters_by_call.get(call, 0) + 1
+            self.count_by_call[call] = self.count_by_call.get(call, 0) + 1
 
     def _expire(self) -> None:
-        now = self._now_s()
-        lapsed = {i for i, (end, _) in self._lease_ends_by_id.items() if end <= now}
-        for lease in lapsed:
+        now_s = self._now_s()
+        expired_leases = {
+            lease
+            for lease, (end_s, _) in self._lease_times_by_id.items()
+            if end_s <= now_s
+        }
+        for lease in expired_leases:
             self._end_lease(lease)
 
     def _end_lease(self, lease: str) -> None:
-        self._lease_ends_by_id.pop(lease, None)
-        for key in [k for k, e in self.entries_by_key.items() if e.lease == lease]:
+        self._lease_times_by_id.pop(lease, None)
+        for key in [
+            key for key, entry in self.entries_by_key.items() if entry.lease == lease
+        ]:
             del self.entries_by_key[key]
-            self._note_change(key)
+            self._record_change(key)
         self.changed.notify_all()
 
-    def get(self, key: str) -> Entry | None:
+    def get(self, key: str) -> StoredEntry | None:
         """Read one value."""
         with self.changed:
             self._expire()
             return self.entries_by_key.get(key)
 
-    def watch(self, key: str, newer_than: int, wait_ms: int) -> Entry | None | str:
-        """Wait until a value is newer than a revision.
+    def watch(
+        self, key: str, newer_than: int, wait_ms: int
+    ) -> StoredEntry | None | str:
+        """Wait until the value of a key is newer than a revision.
 
-        :returns: the entry, ``None`` if there is none, or ``"unchanged"``.
+        :param wait_ms: longest wait.
+        :returns: the newer entry, ``None`` if the key has no value, or ``"unchanged"``.
         """
-        end = self._now_s() + wait_ms / 1000
+        end_s = self._now_s() + wait_ms / 1000
         with self.changed:
             while True:
                 self._expire()
@@ -109,12 +122,12 @@
                     return entry
                 if entry is None and newer_than > 0:
                     return None
-                left = end - self._now_s()
-                if left <= 0 or self.faults.outage:
+                remaining_s = end_s - self._now_s()
+                if remaining_s <= 0 or self.faults.outage:
                     return "unchanged" if entry is not None else None
-                self.changed.wait(min(left, 0.2))
+                self.changed.wait(min(remaining_s, 0.2))
 
-    def _note_change(self, key: str) -> None:
+    def _record_change(self, key: str) -> None:
         self._revision += 1
         self._revision_by_key[key] = self._revision
 
@@ -123,7 +136,11 @@
         with self.changed:
             self._expire()
             return max(
-                (r for k, r in self._revision_by_key.items() if k.startswith(prefix)),
+                (
+                    revision
+                    for key, revision in self._revision_by_key.items()
+                    if key.startswith(prefix)
+                ),
                 default=0,
             )
 
@@ -132,33 +149,42 @@
         with self.changed:
             self._expire()
             return [
-                {"key": k, "value": e.value, "revision": e.revision}
-                for k, e in sorted(self.entries_by_key.items())
-                if k.startswith(prefix)
+                {"key": key, "value": entry.value, "revision": entry.revision}
+                for key, entry in sorted(self.entries_by_key.items())
+                if key.startswith(prefix)
             ]
 
     def put(
         self, key: str, value: str, expected: int, lease: str
     ) -> tuple[int, dict[str, t.Any]]:
-        """Compare-and-swap; returns an HTTP status and a body."""
+        """Write a value if its revision is the expected one.
+
+        :param expected: revision of the current value; 0 if there must be none.
+        :param lease: id of the lease with which the value expires; empty for none.
+        :returns: HTTP status and body: 412 with another revision, 404 if the lease has
+            expired, 413 if the value is longer than ``MAX_VALUE_BYTES``.
+        """
         if len(value.encode()) > MAX_VALUE_BYTES:
             return 413, {}
         with self.changed:
             self._expire()
-            if lease and lease not in self._lease_ends_by_id:
+            if lease and lease not in self._lease_times_by_id:
                 return 404, {}
             entry = self.entries_by_key.get(key)
             revision = entry.revision if entry else 0
             if revision != expected:
                 return 412, {"revision": revision}
-            self._note_change(key)
-            self.entries_by_key[key] = Entry(value, self._revision, lease)
+            self._record_change(key)
+            self.entries_by_key[key] = StoredEntry(value, self._revision, lease)
             self._on_write(key, value, self._revision)
             self.changed.notify_all()
             return 200, {"revision": self._revision}
 
     def delete(self, key: str, expected: int) -> tuple[int, dict[str, t.Any]]:
-        """Compare-and-delete; returns an HTTP status and a body."""
+        """Delete a value if its revision is the expected one.
+
+        :returns: HTTP status and body: 412 with another revision.
+        """
         with self.changed:
             self._expire()
             entry = self.entries_by_key.get(key)
@@ -167,34 +193,34 @@
                 return 412, {"revision": revision}
             if entry:
                 del self.entries_by_key[key]
-                self._note_change(key)
+                self._record_change(key)
                 self.changed.notify_all()
             return 200, {}
 
     def grant_lease(self, ttl_ms: int) -> str:
-        """Create a lease."""
+        """Create a lease; returns its id."""
         with self.changed:
             lease = f"lease-{next(self._ids)}"
-            self._lease_ends_by_id[lease] = (self._now_s() + ttl_ms / 1000, ttl_ms)
+            self._lease_times_by_id[lease] = (self._now_s() + ttl_ms / 1000, ttl_ms)
             return lease
 
     def renew_lease(self, lease: str) -> bool:
-        """Renew a lease; false if it has lapsed."""
+        """Renew a lease; returns false if it has expired."""
         with self.changed:
             self._expire()
-            if lease not in self._lease_ends_by_id:
+            if lease not in self._lease_times_by_id:
                 return False
-            ttl_ms = self._lease_ends_by_id[lease][1]
-            self._lease_ends_by_id[lease] = (self._now_s() + ttl_ms / 1000, ttl_ms)
+            ttl_ms = self._lease_times_by_id[lease][1]
+            self._lease_times_by_id[lease] = (self._now_s() + ttl_ms / 1000, ttl_ms)
             return True
 
     def revoke_lease(self, lease: str) -> None:
-        """End a lease and its values."""
+        """End a lease and delete the values under it."""
         with self.changed:
             self._end_lease(lease)
 
     def set_instance(self, instance: str, fields: dict[str, t.Any]) -> None:
-        """Add or change a row of the instance list."""
+        """Add an instance to the list or change its fields."""
         with self.changed:
             row = self.instances_by_id.setdefault(
                 instance,
@@ -211,81 +237,85 @@
             )
             old_state = row["state"]
             row.update(fields)
-            self._snapshot()
+            self._add_list_snapshot()
             if row["state"] != old_state:
-                self._on_state(instance, row["state"])
+                self._on_state_change(instance, row["state"])
 
     def remove_instance(self, instance: str) -> None:
-        """Remove a row of the instance list."""
+        """Remove an instance from the list."""
         with self.changed:
             self.instances_by_id.pop(instance, None)
-            self._snapshot()
+            self._add_list_snapshot()
 
-    def _snapshot(self) -> None:
+    def _add_list_snapshot(self) -> None:
         rows = json.dumps(list(self.instances_by_id.values()))
         now_s = self._now_s()
-        seen_s = now_s - self.faults.list_lag_ms / 1000
-        # Of the snapshots older than the lag only the newest can still be shown.
-        while len(self._snapshots) > 1 and self._snapshots[1][0] <= seen_s:
+        newest_visible_s = now_s - self.faults.list_lag_ms / 1000
+        # Of the snapshots older than the lag, only the newest can still be returned.
+        while len(self._snapshots) > 1 and self._snapshots[1][0] <= newest_visible_s:
             del self._snapshots[0]
         self._list_revision += 1
         self._snapshots.append((now_s, self._list_revision, rows))
 
     def instance_list(self) -> dict[str, t.Any]:
-        """Return the newest list that is older than the lag."""
+        """Return the newest instance list that is at least ``list_lag_ms`` old."""
         with self.changed:
             if not self._snapshots:
                 return {"revision": 0, "age_ms": 0, "instances": []}
-            seen_s = self._now_s() - self.faults.list_lag_ms / 1000
-            shown = self._snapshots[0]
+            newest_visible_s = self._now_s() - self.faults.list_lag_ms / 1000
+            visible_snapshot = self._snapshots[0]
             for snapshot in self._snapshots:
-                if snapshot[0] <= seen_s:
-                    shown = snapshot
+                if snapshot[0] <= newest_visible_s:
+                    visible_snapshot = snapshot
             return {
-                "revision": shown[1],
+                "revision": visible_snapshot[1],
                 "age_ms": self.faults.list_lag_ms,
-                "instances": json.loads(shown[2]),
+                "instances": json.loads(visible_snapshot[2]),
             }
 
     def accept_fence(self, instance: str, fence: int) -> bool:
-        """Accept a fencing number unless a higher one was seen."""
+        """Record a fencing token for an instance.
+
+        :returns: false if a higher token was already recorded.
+        """
         with self.changed:
-            if fence < self._fence_by_instance.get(instance, 0):
+            if fence < self._highest_fence_by_instance.get(instance, 0):
                 return False
-            self._fence_by_instance[instance] = fence
+            self._highest_fence_by_instance[instance] = fence
             return True
 
 
-VIEW = "standin.view"
-"""environ key of the zone that asks; see :class:`PlatformApp`."""
+VIEWING_ZONE_KEY = "standin.view"
+"""environ key of the zone of the caller; see :class:`PlatformApp`."""
 
 
-def split_view(environ: t.Any) -> None:
-    """Take the prefix ``/view/<zone>`` off the path and note the zone."""
+def strip_view_prefix(environ: t.Any) -> None:
+    """Move the zone of a prefix ``/view/<zone>`` from the path to environ."""
     path = environ["PATH_INFO"]
     if path.startswith("/view/"):
-        _, _, environ[VIEW], rest = path.split("/", 3)
+        _, _, environ[VIEWING_ZONE_KEY], rest = path.split("/", 3)
         environ["PATH_INFO"] = "/" + rest
 
 
 class PlatformApp:
     """WSGI application of the platform stand-in.
 
-    A caller whose base URL ends in ``/view/<zone>`` sees the address that a row
-    of the instance list has for that zone in ``addresses``. So each zone can
-    have its own relays to the workers.
+    For a caller whose base URL ends in ``/view/<zone>``, the instance list shows the
+    addresses that ``addresses`` has for that zone, so that each zone can reach the
+    workers through its own relays.
 
-    :param platform: the state to serve.
-    :param control_worker: called with address, action for drains and reboots.
+    :param platform: state to serve.
+    :param send_worker_action: called with a worker's address and the action to drain,
+        undrain or reboot it.
     """
 
     def __init__(
         self,
         platform: Platform,
-        control_worker: t.Callable[[str, str], None] = lambda address, action: None,
+        send_worker_action: t.Callable[[str, str], None] = lambda address, action: None,
     ) -> None:
         self.platform = platform
-        self._control_worker = control_worker
+        self._send_worker_action = send_worker_action
         self._routes = Map(
             [
                 Rule("/v1/kv", endpoint=self._list, methods=["GET"]),
@@ -313,7 +343,7 @@
         )
 
     def __call__(self, environ: t.Any, start_response: t.Any) -> t.Any:
-        split_view(environ)
+        strip_view_prefix(environ)
         request = werkzeug.Request(environ)
         try:
             endpoint, values = self._routes.bind_to_environ(environ).match()
@@ -326,7 +356,7 @@
         self, request: werkzeug.Request, endpoint: t.Any, values: t.Any
     ) -> t.Any:
         if endpoint not in (self._faults, self._counters, self._set, self._remove):
-            self.platform.count(f"{request.method} {request.path.split('/')[2]}")
+            self.platform.count_call(f"{request.method} {request.path.split('/')[2]}")
             faults = self.platform.faults
             if faults.slow_ms:
                 time.sleep(faults.slow_ms / 1000)
@@ -339,73 +369,88 @@
         return endpoint(request, **values)
 
     @staticmethod
-    def _json(body: t.Any, status: int = 200) -> werkzeug.Response:
+    def _build_json_response(body: t.Any, status: int = 200) -> werkzeug.Response:
         return werkzeug.Response(
             json.dumps(body), status=status, content_type="application/json"
         )
 
-    def _entry(self, entry: Entry | None | str) -> werkzeug.Response:
+    def _build_entry_response(
+        self, entry: StoredEntry | None | str
+    ) -> werkzeug.Response:
         if entry is None:
-            return self._json({}, 404)
+            return self._build_json_response({}, 404)
         if isinstance(entry, str):
             return werkzeug.Response(status=304)
-        return self._json({"value": entry.value, "revision": entry.revision})
+        return self._build_json_response(
+            {"value": entry.value, "revision": entry.revision}
+        )
 
     def _get(self, request: werkzeug.Request, key: str) -> werkzeug.Response:
         newer_than = request.args.get("newer_than", 0, type=int)
         wait_ms = request.args.get("wait_ms", 0, type=int)
         if newer_than or wait_ms:
-            return self._entry(self.platform.watch(key, newer_than, wait_ms))
-        return self._entry(self.platform.get(key))
+            return self._build_entry_response(
+                self.platform.watch(key, newer_than, wait_ms)
+            )
+        return self._build_entry_response(self.platform.get(key))
 
     def _list(self, request: werkzeug.Request) -> werkzeug.Response:
         prefix = request.args.get("prefix", "")
         revision = self.platform.list_revision(prefix)
         if revision and revision <= request.args.get("newer_than", 0, type=int):
             return werkzeug.Response(status=304)
-        # The revision is read first: a change in between is sent again next time.
+        # The revision was read before the items, so that a change in between is sent
+        # again with the next call.
         items = self.platform.list(prefix)
-        return self._json({"items": items, "revision": revision})
+        return self._build_json_response({"items": items, "revision": revision})
 
     def _put(self, request: werkzeug.Request, key: str) -> werkzeug.Response:
         body = request.get_json()
         status, answer = self.platform.put(
             key, body["value"], body["expected_revision"], body.get("lease", "")
         )
-        return self._json(answer, status)
+        return self._build_json_response(answer, status)
 
     def _delete(self, request: werkzeug.Request, key: str) -> werkzeug.Response:
         expected = request.args.get("expected_revision", 0, type=int)
         status, answer = self.platform.delete(key, expected)
-        return self._json(answer, status)
+        return self._build_json_response(answer, status)
 
     def _grant(self, request: werkzeug.Request) -> werkzeug.Response:
-        return self._json({"lease": self.platform.grant_lease(request.json["ttl_ms"])})
+        return self._build_json_response(
+            {"lease": self.platform.grant_lease(request.json["ttl_ms"])}
+        )
 
     def _renew(self, request: werkzeug.Request, lease: str) -> werkzeug.Response:
-        return self._json({}, 200 if self.platform.renew_lease(lease) else 404)
+        return self._build_json_response(
+            {}, 200 if self.platform.renew_lease(lease) else 404
+        )
 
     def _revoke(self, request: werkzeug.Request, lease: str) -> werkzeug.Response:
         self.platform.revoke_lease(lease)
-        return self._json({})
+        return self._build_json_response({})
 
     def _instances(self, request: werkzeug.Request) -> werkzeug.Response:
-        listed = self.platform.instance_list()
+        instance_list = self.platform.instance_list()
         newer_than = request.args.get("newer_than", 0, type=int)
-        if listed["revision"] and listed["revision"] == newer_than:
-            return self._json({"revision": newer_than, "age_ms": listed["age_ms"]})
-        for row in listed["instances"]:
-            seen = row.pop("addresses", {}).get(request.environ.get(VIEW))
-            row["address"] = seen or row["address"]
-        return self._json(listed)
+        if instance_list["revision"] and instance_list["revision"] == newer_than:
+            return self._build_json_response(
+                {"revision": newer_than, "age_ms": instance_list["age_ms"]}
+            )
+        for row in instance_list["instances"]:
+            zone_address = row.pop("addresses", {}).get(
+                request.environ.get(VIEWING_ZONE_KEY)
+            )
+            row["address"] = zone_address or row["address"]
+        return self._build_json_response(instance_list)
 
     def _set(self, request: werkzeug.Request, name: str) -> werkzeug.Response:
         self.platform.set_instance(name, request.json)
-        return self._json({})
+        return self._build_json_response({})
 
     def _remove(self, request: werkzeug.Request, name: str) -> werkzeug.Response:
         self.platform.remove_instance(name)
-        return self._json({})
+        return self._build_json_response({})
 
     def _control(
         self, request: werkzeug.Request, name: str, action: str
@@ -414,15 +459,15 @@
         if row is None:
             raise NotFound()
         if not self.platform.accept_fence(name, int(request.headers.get("Fence", 0))):
-            return self._json({}, 409)
-        self._control_worker(row["address"], action)
-        return self._json({})
+            return self._build_json_response({}, 409)
+        self._send_worker_action(row["address"], action)
+        return self._build_json_response({})
 
     def _faults(self, request: werkzeug.Request) -> werkzeug.Response:
         self.platform.faults = PlatformFaults(**request.json)
         with self.platform.changed:
             self.platform.changed.notify_all()
-        return self._json({})
+        return self._build_json_response({})
 
     def _counters(self, request: werkzeug.Request) -> werkzeug.Response:
-        return self._json(self.platform.counters_by_call)
+        return self._build_json_response(self.platform.count_by_call)
--- a/src/cranberrywheel_standin/platform_server.py
+++ b/src/cranberrywheel_standin/platform_server.py
@@ -1,7 +1,7 @@
 """Stand-in for the users' platform over HTTP: store, executors and machines.
 
-It speaks the platform's protocol on loopback addresses, so that real processes and
-the adapter can be tested without the users' programs.
+It implements the platform's protocol on loopback addresses, so that real node
+processes and the platform clients can be tested without the users' programs.
 """
 
 import base64
@@ -28,8 +28,8 @@
     VirtualFleet,
 )
 
-POLL_S = 0.01
-THREADS = 48
+POLL_INTERVAL_S = 0.01
+SERVER_THREADS = 48
 MAX_BODY_BYTES = 1_000_000
 
 _STATUS_BY_OUTCOME = {Outcome.OK: 200, Outcome.ABSENT: 404, Outcome.CONFLICT: 412}
@@ -41,14 +41,14 @@
 }
 
 
-class _ClockOnly:
-    """What the fleet needs of a loop."""
+class _LoopClock:
+    """Stands in for a :class:`VirtualLoop`, of which the fleet uses only the clock."""
 
     def __init__(self) -> None:
         self.clock = Clock()
 
 
-def _json(body: t.Any, status: int = 200) -> Response:
+def _build_json_response(body: t.Any, status: int = 200) -> Response:
     return Response(json.dumps(body), status=status, content_type="application/json")
 
 
@@ -60,14 +60,14 @@
 
 
 class PlatformServer:
-    """One platform: a store, executors and the list of machines.
+    """Servers of one platform: store, executors and the list of machines.
 
-    :ivar refuses: the store answers 503 while true.
-    :ivar slow_ms: further time of each answer of the store.
+    :ivar store_unavailable: the store answers 503 while this is true.
+    :ivar store_delay_ms: additional time that the store takes for each answer.
     """
 
     def __init__(self, host: str, store_port: int, machines_port: int) -> None:
-        loop = _ClockOnly()
+        loop = _LoopClock()
         self.lock = threading.RLock()
         self.state = StoreState(loop.clock)
         self.fleet = VirtualFleet(t.cast(t.Any, loop), t.cast(t.Any, self.state))
@@ -76,27 +76,30 @@
         self.store_delay_ms = 0
         self.host = host
         self._servers = [
-            HttpServer(host, store_port, self._store_app, THREADS, MAX_BODY_BYTES),
-            HttpServer(host, machines_port, self._machines_app, 4, MAX_BODY_BYTES),
+            HttpServer(
+                host, store_port, self._serve_store, SERVER_THREADS, MAX_BODY_BYTES
+            ),
+            HttpServer(host, machines_port, self._serve_machines, 4, MAX_BODY_BYTES),
         ]
         self._executor_servers: list[HttpServer] = []
 
     def start(self) -> None:
-        """Start to serve."""
+        """Start serving the store and the list of machines."""
         for server in self._servers:
             server.start()
 
     def stop(self) -> None:
-        """Stop serving."""
+        """Stop accepting connections on all servers."""
         for server in (*self._servers, *self._executor_servers):
             server.close_listener()
 
     def add_executor(
         self, executor_id: str, service: str, port: int, advertised: str, cpu: int
     ) -> VirtualExecutor:
-        """Add an executor that listens on a port.
+        """Add an executor that listens on a port and write its entry to the store.
 
-        :param advertised: address in its entry; a proxy may stand before it.
+        :param advertised: address in its entry; may be that of a proxy to the port.
+        :param cpu: capacity in thousandths of a core.
         """
         entry = ExecutorEntry(
             id=executor_id,
@@ -116,19 +119,21 @@
             self.state.put(EXECUTOR_PREFIX + executor_id, encode_executor(entry))
 
         def app(environ: t.Any, start_response: t.Any) -> t.Any:
-            return self._run(executor, Request(environ))(environ, start_response)
+            return self._handle_executor_call(executor, Request(environ))(
+                environ, start_response
+            )
 
-        server = HttpServer(self.host, port, app, THREADS, MAX_BODY_BYTES)
+        server = HttpServer(self.host, port, app, SERVER_THREADS, MAX_BODY_BYTES)
         server.start()
         self._executor_servers.append(server)
         return executor
 
-    # Executors
-
-    def _run(self, executor: VirtualExecutor, request: Request) -> Response:
+    def _handle_executor_call(
+        self, executor: VirtualExecutor, request: Request
+    ) -> Response:
         body = json.loads(request.get_data() or b"{}")
         if request.path == "/api/hold":
-            return self._hold(executor, body)
+            return self._handle_poll(executor, body)
         with self.lock:
             if request.path == "/api/run-start":
                 order = StartOrder(
@@ -142,101 +147,109 @@
             elif request.path == "/api/run-stop":
                 reply = executor.stop(body["task"], body["run"], body["fencingToken"])
             else:
-                return _json({}, 404)
+                return _build_json_response({}, 404)
         if reply.verdict is OrderVerdict.OK:
-            return _json({"timestampMs": reply.clock_ms})
+            return _build_json_response({"timestampMs": reply.clock_ms})
         reason = _REASON_BY_VERDICT[reply.verdict]
-        return _json({"timestampMs": reply.clock_ms, "reason": reason}, 409)
+        return _build_json_response(
+            {"timestampMs": reply.clock_ms, "reason": reason}, 409
+        )
 
-    def _hold(self, executor: VirtualExecutor, body: dict[str, t.Any]) -> Response:
-        give_up_ms = self.clock.now_ms() + body.get("waitMs", 0)
+    def _handle_poll(
+        self, executor: VirtualExecutor, body: dict[str, t.Any]
+    ) -> Response:
+        wait_end_ms = self.clock.now_ms() + body.get("waitMs", 0)
         with self.lock:
-            verdict = executor.hold(
+            verdict = executor.apply_poll_parameters(
                 body["fencingToken"], body["ackCursor"], body.get("deadlineMs", 0)
             )
             if verdict is not OrderVerdict.OK:
-                return _json({"reason": "fence"}, 409)
+                return _build_json_response({"reason": "fence"}, 409)
         while True:
             with self.lock:
                 executor.end_due_runs()
-                if executor.ends or self.clock.now_ms() >= give_up_ms:
-                    look = executor.look(OrderVerdict.OK)
+                if executor.completions or self.clock.now_ms() >= wait_end_ms:
+                    reply = executor.build_poll_reply(OrderVerdict.OK)
                     break
-            time.sleep(POLL_S)
-        return _json(
+            time.sleep(POLL_INTERVAL_S)
+        return _build_json_response(
             {
-                "timestampMs": look.clock_ms,
-                "born": look.boot,
+                "timestampMs": reply.clock_ms,
+                "born": reply.boot,
                 "running": [
                     [row.task, row.number, row.checkpoint, int(row.percent), 0]
-                    for row in look.running
+                    for row in reply.running
                 ],
                 "finished": [
                     [row.sequence, row.task, row.number, row.outcome.value, ""]
-                    for row in look.completions
+                    for row in reply.completions
                 ],
             }
         )
 
-    # Store
-
-    def _store_app(self, environ: t.Any, start_response: t.Any) -> t.Any:
+    def _serve_store(self, environ: t.Any, start_response: t.Any) -> t.Any:
         request = Request(environ)
         if self.store_delay_ms:
             time.sleep(self.store_delay_ms / 1000)
         if self.store_unavailable:
-            return _json({}, 503)(environ, start_response)
+            return _build_json_response({}, 503)(environ, start_response)
         if request.path == "/api/kv-watch":
-            response = self._watch(request)
+            response = self._handle_watch(request)
         else:
             with self.lock:
-                response = self._answer(request)
+                response = self._handle_store_call(request)
         return response(environ, start_response)
 
-    def _watch(self, request: Request) -> Response:
+    def _handle_watch(self, request: Request) -> Response:
         prefix, after = request.args["prefix"], int(request.args["after"])
-        give_up_ms = self.clock.now_ms() + int(request.args["waitMs"])
+        wait_end_ms = self.clock.now_ms() + int(request.args["waitMs"])
         while True:
             with self.lock:
                 reply = self.state.events(prefix, after)
             if (
                 reply.items
-                or self.clock.now_ms() >= give_up_ms
+                or self.clock.now_ms() >= wait_end_ms
                 or self.store_unavailable
             ):
                 events = [_encode_item(item) for item in reply.items]
-                return _json({"events": events, "asOf": reply.revision})
-            time.sleep(POLL_S)
+                return _build_json_response({"events": events, "asOf": reply.revision})
+            time.sleep(POLL_INTERVAL_S)
 
-    def _answer(self, request: Request) -> Response:
+    def _handle_store_call(self, request: Request) -> Response:
         path = request.path
         if path == "/api/kv-key":
             reply = self.state.read(request.args["key"])
             if reply.outcome is Outcome.ABSENT:
-                return _json({"asOf": reply.revision}, 404)
-            return _json({**_encode_item(reply.items[0]), "asOf": reply.revision})
+                return _build_json_response({"asOf": reply.revision}, 404)
+            return _build_json_response(
+                {**_encode_item(reply.items[0]), "asOf": reply.revision}
+            )
         if path == "/api/kv-range":
             reply = self.state.read_all(request.args["prefix"])
             after = request.args.get("after", "")
-            rows = [item for item in reply.items if item.key > after]
-            page = [_encode_item(item) for item in rows[:500]]
-            more = len(rows) > 500
-            return _json({"items": page, "hasMore": more, "asOf": reply.revision})
+            items_after = [item for item in reply.items if item.key > after]
+            page = [_encode_item(item) for item in items_after[:500]]
+            has_more = len(items_after) > 500
+            return _build_json_response(
+                {"items": page, "hasMore": has_more, "asOf": reply.revision}
+            )
         if path == "/api/kv-txn":
-            return self._write(json.loads(request.get_data()))
+            return self._handle_write(json.loads(request.get_data()))
         if path == "/api/kv-lease":
             reply = self.state.grant_lease(json.loads(request.get_data())["ttlMs"])
-            return _json({"lease": reply.lease, "ttlMs": reply.ttl_ms})
+            return _build_json_response({"lease": reply.lease, "ttlMs": reply.ttl_ms})
         lease = path.rpartition("/")[2]
         if path.startswith("/api/kv-keep/"):
             reply = self.state.renew_lease(int(lease))
-            return _json({"ttlMs": reply.ttl_ms}, _STATUS_BY_OUTCOME[reply.outcome])
+            return _build_json_response(
+                {"ttlMs": reply.ttl_ms}, _STATUS_BY_OUTCOME[reply.outcome]
+            )
         if path.startswith("/api/kv-lease-end/"):
             self.state.end_lease(int(lease))
-            return _json({})
-        return _json({}, 404)
+            return _build_json_response({})
+        return _build_json_response({}, 404)
 
-    def _write(self, body: dict[str, t.Any]) -> Response:
+    def _handle_write(self, body: dict[str, t.Any]) -> Response:
         write = Write(
             tuple((row["key"], row["revision"]) for row in body["precondition"]),
             tuple(
@@ -248,14 +261,14 @@
         reply: StoreReply = self.state.write(write)
         status = _STATUS_BY_OUTCOME[reply.outcome]
         if reply.outcome is Outcome.CONFLICT:
-            return _json({"items": [_encode_item(i) for i in reply.items]}, status)
-        return _json({"revision": reply.revision}, status)
-
-    # Machines
+            return _build_json_response(
+                {"items": [_encode_item(item) for item in reply.items]}, status
+            )
+        return _build_json_response({"revision": reply.revision}, status)
 
-    def _machines_app(self, environ: t.Any, start_response: t.Any) -> t.Any:
+    def _serve_machines(self, environ: t.Any, start_response: t.Any) -> t.Any:
         with self.lock:
-            rows = [
+            machines = [
                 {
                     "machine": executor.entry.machine,
                     "pool": executor.entry.service,
@@ -266,5 +279,5 @@
                 }
                 for executor in self.fleet.executors_by_id.values()
             ]
-        response = _json({"machines": rows, "nextPageToken": None})
+        response = _build_json_response({"machines": machines, "nextPageToken": None})
         return response(environ, start_response)
--- a/src/cranberrywheel_standin/serving.py
+++ b/src/cranberrywheel_standin/serving.py
@@ -1,7 +1,7 @@
 """Threaded HTTP/1.1 server with keep-alive for the stand-ins.
 
-werkzeug's own handler closes each connection, which would hide faults of
-connection reuse in the product.
+werkzeug's own handler closes the connection after each request, which would hide
+faults in the reuse of connections.
 """
 
 import io
@@ -11,16 +11,16 @@
 from werkzeug.serving import ThreadedWSGIServer, WSGIRequestHandler
 from werkzeug.test import run_wsgi_app
 
-#: environ key of a list; an application appends a fault to damage its answer.
+#: environ key of a list to which an application appends a fault for its answer.
 WIRE_FAULT = "standin.wire_fault"
-#: send the headers and half of the body, then close the connection.
+#: Sends the headers and half of the body, then closes the connection.
 TRUNCATE = "truncate"
-#: close the connection without an answer.
+#: Closes the connection without an answer.
 DROP = "drop"
 
 
 class KeepAliveHandler(WSGIRequestHandler):
-    """Serves several requests on one connection."""
+    """Request handler that keeps connections open between requests."""
 
     protocol_version = "HTTP/1.1"
     # Without these two, Nagle's algorithm delays each small answer by 40 ms.
@@ -31,8 +31,8 @@
         environ = self.make_environ()
         length = int(self.headers.get("Content-Length") or 0)
         environ["wsgi.input"] = io.BytesIO(self.rfile.read(length))
-        # run_wsgi_app passes on a copy of environ, so the application appends to
-        # a list that both share.
+        # run_wsgi_app gives the application a copy of environ; the list in it is
+        # shared.
         faults: list[str] = []
         environ[WIRE_FAULT] = faults
         chunks, status, headers = run_wsgi_app(self.server.app, environ)
@@ -55,25 +55,25 @@
         self.wfile.flush()
 
     def log_request(self, code: t.Any = "-", size: t.Any = "-") -> None:
-        """Log nothing: the stand-ins answer thousands of calls."""
+        """Suppress the log of requests; the stand-ins answer thousands of them."""
 
 
 class Server(ThreadedWSGIServer):
-    """A listening server; :meth:`start` serves it on its own thread."""
+    """HTTP server that listens at once and serves after :meth:`start`."""
 
     def __init__(self, host: str, port: int, app: t.Any) -> None:
         super().__init__(host, port, app, KeepAliveHandler)
 
     @property
     def address(self) -> str:
-        """Return ``ip:port``; the port is the real one if 0 was asked for."""
+        """Return ``ip:port``; the port is the bound one if 0 was requested."""
         return f"{self.server_address[0]}:{self.server_address[1]}"
 
     def start(self) -> None:
-        """Serve until :meth:`stop`."""
+        """Serve on a new thread until :meth:`stop`."""
         threading.Thread(target=self.serve_forever, daemon=True).start()
 
     def stop(self) -> None:
-        """Stop listening; running handlers end with the process."""
+        """Stop listening; handlers in progress are not waited for."""
         self.shutdown()
         self.server_close()
--- a/src/cranberrywheel_standin/virtual_fleet.py
+++ b/src/cranberrywheel_standin/virtual_fleet.py
@@ -1,7 +1,8 @@
-"""Store and executors in virtual time, for tests that replay faults and load.
+"""Simulated store and executors in virtual time, for tests of faults and load.
 
 The classes have the methods of the real clients, so that the leader and the
-scheduler run on them unchanged. Everything happens on one :class:`VirtualLoop`.
+scheduler run on them unchanged. All events of a test are timers of one
+:class:`VirtualLoop`.
 """
 
 import dataclasses
@@ -31,10 +32,13 @@
 )
 from cranberrywheel.submission.model import Resources
 
-#: One way between a node and the platform.
-DELAY_MS = 2
-STOP_MS = 100
-STEP_MS = 5
+#: Delay of a message in one direction between a node and the platform.
+NETWORK_DELAY_MS = 2
+#: Time from an accepted stop to the end of the run.
+STOP_DURATION_MS = 100
+#: Interval at which a long poll checks for news.
+POLL_INTERVAL_MS = 5
+#: Unix time at which the virtual clock starts.
 UNIX_START_MS = 1_700_000_000_000
 
 
@@ -44,19 +48,19 @@
     def __init__(self) -> None:
         self.clock = ManualClock(1_000)
         self._timers: list[tuple[int, int, t.Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._timer_sequence = itertools.count()
 
     def after(self, delay_ms: int, function: t.Callable[[], None]) -> None:
         """Run a function once after a delay."""
         due_ms = self.clock.now_ms() + max(0, delay_ms)
-        heapq.heappush(self._timers, (due_ms, next(self._order), function))
+        heapq.heappush(self._timers, (due_ms, next(self._timer_sequence), function))
 
     def post(self, function: t.Callable[[], None]) -> None:
-        """Run a function in this turn."""
+        """Run a function as soon as the timers that are due now have run."""
         self.after(0, function)
 
     def run_for(self, duration_ms: int) -> None:
-        """Move the clock and run what is due."""
+        """Advance the clock by a duration and run the timers that become due."""
         end_ms = self.clock.now_ms() + duration_ms
         while self._timers and self._timers[0][0] <= end_ms:
             due_ms, _, function = heapq.heappop(self._timers)
@@ -66,9 +70,10 @@
 
 
 class StoreState:
-    """Content of the key-value service: conditions, leases and history.
+    """Content of the key-value service: items, leases and change history.
 
-    :param clock: source of the leases' times.
+    :param clock: clock by which leases expire.
+    :ivar writes: number of conditional writes that were attempted.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -77,11 +82,11 @@
         self.item_by_key: dict[str, Item] = {}
         self.lease_by_key: dict[str, int] = {}
         self.writes = 0
-        self._lease_ends: dict[int, tuple[int, int]] = {}
+        self._lease_times_by_id: dict[int, tuple[int, int]] = {}
         self._history: list[Item] = []
         self._lease_ids = itertools.count(1)
 
-    def _set(self, key: str, value: bytes | None) -> None:
+    def _set_item(self, key: str, value: bytes | None) -> None:
         item = Item(key, value, self.revision)
         self._history.append(item)
         if value is None:
@@ -91,18 +96,22 @@
             self.item_by_key[key] = item
 
     def put(self, key: str, value: bytes) -> None:
-        """Write as an operator or an executor does."""
+        """Write a key without conditions, as an operator or an executor does."""
         self.revision += 1
-        self._set(key, value)
+        self._set_item(key, value)
 
     def delete(self, key: str) -> None:
-        """Delete as an executor does that has left."""
+        """Delete a key without conditions, as an executor does when it leaves."""
         self.revision += 1
-        self._set(key, None)
+        self._set_item(key, None)
 
     def _expire(self) -> None:
         now_ms = self._clock.now_ms()
-        for lease in [i for i, (end, _) in self._lease_ends.items() if end <= now_ms]:
+        for lease in [
+            lease
+            for lease, (end_ms, _) in self._lease_times_by_id.items()
+            if end_ms <= now_ms
+        ]:
             self.end_lease(lease)
 
     def read(self, key: str) -> StoreReply:
@@ -114,7 +123,7 @@
         return StoreReply(Outcome.OK, (item,), self.revision)
 
     def read_all(self, prefix: str) -> StoreReply:
-        """Read everything under a prefix."""
+        """Read all keys under a prefix."""
         self._expire()
         items = [
             item
@@ -134,7 +143,11 @@
         return StoreReply(Outcome.OK, tuple(reversed(events)), self.revision)
 
     def write(self, write: Write) -> StoreReply:
-        """Write all or nothing."""
+        """Apply a conditional write completely or not at all.
+
+        :returns: ``CONFLICT`` with the current items if a condition does not hold,
+            ``ABSENT`` if a lease has expired, otherwise ``OK``.
+        """
         self._expire()
         self.writes += 1
         current = [
@@ -143,48 +156,53 @@
         for (_, revision), item in zip(write.conditions, current, strict=True):
             if item.revision != revision:
                 return StoreReply(
-                    Outcome.CONFLICT, tuple(i for i in current if i.revision)
+                    Outcome.CONFLICT, tuple(item for item in current if item.revision)
                 )
-        if any(lease and lease not in self._lease_ends for _, _, lease in write.puts):
+        if any(
+            lease and lease not in self._lease_times_by_id for _, _, lease in write.puts
+        ):
             return StoreReply(Outcome.ABSENT)
         self.revision += 1
         for key, value, lease in write.puts:
-            self._set(key, value)
+            self._set_item(key, value)
             if lease:
                 self.lease_by_key[key] = lease
         for key in write.deletes:
             if key in self.item_by_key:
-                self._set(key, None)
+                self._set_item(key, None)
         return StoreReply(Outcome.OK, revision=self.revision)
 
     def grant_lease(self, ttl_ms: int) -> StoreReply:
         """Create a lease."""
         lease = next(self._lease_ids)
-        self._lease_ends[lease] = (self._clock.now_ms() + ttl_ms, ttl_ms)
+        self._lease_times_by_id[lease] = (self._clock.now_ms() + ttl_ms, ttl_ms)
         return StoreReply(Outcome.OK, lease=lease, ttl_ms=ttl_ms)
 
     def renew_lease(self, lease: int) -> StoreReply:
-        """Renew a lease."""
+        """Renew a lease; returns ``ABSENT`` if it has expired."""
         self._expire()
-        if lease not in self._lease_ends:
+        if lease not in self._lease_times_by_id:
             return StoreReply(Outcome.ABSENT)
-        ttl_ms = self._lease_ends[lease][1]
-        self._lease_ends[lease] = (self._clock.now_ms() + ttl_ms, ttl_ms)
+        ttl_ms = self._lease_times_by_id[lease][1]
+        self._lease_times_by_id[lease] = (self._clock.now_ms() + ttl_ms, ttl_ms)
         return StoreReply(Outcome.OK, ttl_ms=ttl_ms)
 
     def end_lease(self, lease: int) -> StoreReply:
         """End a lease and delete its keys."""
-        self._lease_ends.pop(lease, None)
-        for key in [k for k, i in self.lease_by_key.items() if i == lease]:
+        self._lease_times_by_id.pop(lease, None)
+        for key in [
+            key for key, key_lease in self.lease_by_key.items() if key_lease == lease
+        ]:
             self.delete(key)
         return StoreReply(Outcome.OK)
 
 
 class VirtualStore(StoreState):
-    """The service behind a network with delays; stands in for ``Store``.
+    """Key-value service behind a network with delays.
 
-    :ivar away: answers nothing while true.
-    :ivar delay_ms_by_prefix: further time that reading a prefix takes.
+    :ivar unreachable: no call is answered while this is true.
+    :ivar delay_ms_by_prefix: additional time that reading all keys under a prefix
+        takes.
     """
 
     def __init__(self, loop: VirtualLoop) -> None:
@@ -194,40 +212,40 @@
         self.delay_ms_by_prefix: dict[str, int] = {}
 
     def build_client(self) -> Store:
-        """Return a client with the methods of the real one."""
+        """Build a client that has the methods of ``Store``."""
         return t.cast(Store, VirtualStoreClient(self._loop, self))
 
 
 class VirtualStoreClient:
-    """Calls a virtual store; has the methods of ``Store``."""
+    """Client of a virtual store; stands in for ``Store``."""
 
     def __init__(self, loop: VirtualLoop, store: VirtualStore) -> None:
         self._loop = loop
         self._store = store
 
-    def _answer(
+    def _call_store(
         self,
         done: t.Callable[[StoreReply], None],
-        work: t.Callable[[], StoreReply],
-        delay_ms: int = DELAY_MS,
+        operation: t.Callable[[], StoreReply],
+        delay_ms: int = NETWORK_DELAY_MS,
     ) -> None:
-        def arrive() -> None:
+        def process_call() -> None:
             if self._store.unreachable:
                 self._loop.after(800, lambda: done(StoreReply(Outcome.UNKNOWN)))
                 return
-            reply = work()
-            self._loop.after(DELAY_MS, lambda: done(reply))
+            reply = operation()
+            self._loop.after(NETWORK_DELAY_MS, lambda: done(reply))
 
-        self._loop.after(delay_ms, arrive)
+        self._loop.after(delay_ms, process_call)
 
     def read(self, key: str, done: t.Callable[[StoreReply], None]) -> None:
         """See ``Store.read``."""
-        self._answer(done, lambda: self._store.read(key))
+        self._call_store(done, lambda: self._store.read(key))
 
     def read_all(self, prefix: str, done: t.Callable[[StoreReply], None]) -> None:
         """See ``Store.read_all``."""
-        delay_ms = DELAY_MS + self._store.delay_ms_by_prefix.get(prefix, 0)
-        self._answer(done, lambda: self._store.read_all(prefix), delay_ms)
+        delay_ms = NETWORK_DELAY_MS + self._store.delay_ms_by_prefix.get(prefix, 0)
+        self._call_store(done, lambda: self._store.read_all(prefix), delay_ms)
 
     def watch(
         self,
@@ -237,52 +255,60 @@
         done: t.Callable[[StoreReply], None],
     ) -> None:
         """See ``Store.watch``."""
-        give_up_ms = self._loop.clock.now_ms() + wait_ms
+        wait_end_ms = self._loop.clock.now_ms() + wait_ms
 
         def poll() -> None:
-            late = self._loop.clock.now_ms() >= give_up_ms
+            timed_out = self._loop.clock.now_ms() >= wait_end_ms
             reply = self._store.events(prefix, after)
-            if self._store.unreachable and late:
+            if self._store.unreachable and timed_out:
                 done(StoreReply(Outcome.UNKNOWN))
-            elif not self._store.unreachable and (reply.items or late):
-                self._loop.after(DELAY_MS, lambda: done(reply))
+            elif not self._store.unreachable and (reply.items or timed_out):
+                self._loop.after(NETWORK_DELAY_MS, lambda: done(reply))
             else:
-                self._loop.after(STEP_MS, poll)
+                self._loop.after(POLL_INTERVAL_MS, poll)
 
-        self._loop.after(DELAY_MS, poll)
+        self._loop.after(NETWORK_DELAY_MS, poll)
 
     def write(self, write: Write, done: t.Callable[[StoreReply], None]) -> None:
         """See ``Store.write``."""
-        self._answer(done, lambda: self._store.write(write))
+        self._call_store(done, lambda: self._store.write(write))
 
     def grant_lease(self, ttl_ms: int, done: t.Callable[[StoreReply], None]) -> None:
         """See ``Store.grant_lease``."""
-        self._answer(done, lambda: self._store.grant_lease(ttl_ms))
+        self._call_store(done, lambda: self._store.grant_lease(ttl_ms))
 
     def renew_lease(
         self, lease: int, done: t.Callable[[StoreReply], None], timeout_ms: int = 0
     ) -> None:
         """See ``Store.renew_lease``."""
-        self._answer(done, lambda: self._store.renew_lease(lease))
+        self._call_store(done, lambda: self._store.renew_lease(lease))
 
 
 @dataclasses.dataclass
 class VirtualRun:
-    """A run at an executor."""
+    """One run of a task on an executor.
+
+    :param end_ms: when the run ends unless it is stopped or its lease expires.
+    """
 
     task: str
     number: int
     end_ms: int
-    begin_ms: int
+    start_ms: int
     stopping: bool = False
 
 
 class VirtualExecutor:
-    """One executor: its runs, lease, fence and list of ends.
-
-    :ivar cut: no call reaches it and no answer leaves it.
-    :ivar slowness: how many times as long its tasks take.
-    :ivar mute_share: share of the starts that get no answer and happen late.
+    """One executor: its runs, lease, fencing token and unacknowledged completions.
+
+    :ivar isolated: no call reaches the executor and no answer leaves it.
+    :ivar unanswered_start_share: share of the starts, from 0 to 1, that get no answer
+        and take effect late.
+    :ivar fails_all_runs: every run ends with the outcome ``FAILED``.
+    :ivar slowdown_factor: factor on the duration of its runs.
+    :ivar deadline_ms: end of the lease, on the executor's own clock.
+    :ivar completions: ended runs that the leader has not acknowledged yet.
+    :ivar highest_ended_by_task: highest number of an ended run, by task.
     """
 
     def __init__(
@@ -299,25 +325,25 @@
         self.deadline_ms = 0
         self.boot = entry.boot
         self.runs: dict[tuple[str, int], VirtualRun] = {}
-        self.ends: list[CompletionReport] = []
+        self.completions: list[CompletionReport] = []
         self.sequence = 0
         self.acknowledged = 0
-        self.highest_ended: dict[str, int] = {}
+        self.highest_ended_by_task: dict[str, int] = {}
 
-    def clock_ms(self) -> int:
-        """The executor's own clock."""
+    def read_clock_ms(self) -> int:
+        """Return the executor's own clock: milliseconds since its boot."""
         return self._clock.now_ms() - self.boot
 
-    def used(self) -> int:
-        """Cpu in use."""
-        return sum(self._fleet.cpu_of(run.task) for run in self.runs.values())
+    def compute_used_cpu(self) -> int:
+        """Return the cpu that the runs use, in thousandths of a core."""
+        return sum(self._fleet.get_cpu(run.task) for run in self.runs.values())
 
     def end_due_runs(self) -> None:
-        """Bring the runs up to the present moment."""
+        """End the runs whose time is over or whose lease has expired."""
         now_ms = self._clock.now_ms()
-        for run in sorted(self.runs.values(), key=lambda r: r.end_ms):
-            lapse_ms = self.deadline_ms + self.boot
-            if run.end_ms <= min(now_ms, lapse_ms):
+        for run in sorted(self.runs.values(), key=lambda run: run.end_ms):
+            lease_expiry_ms = self.deadline_ms + self.boot
+            if run.end_ms <= min(now_ms, lease_expiry_ms):
                 if run.stopping:
                     self._end(run, RunOutcome.STOPPED)
                 else:
@@ -329,100 +355,132 @@
             for run in list(self.runs.values()):
                 self._end(run, RunOutcome.EXPIRED)
 
-    def _end(self, run: VirtualRun, end: RunOutcome) -> None:
+    def _end(self, run: VirtualRun, outcome: RunOutcome) -> None:
         del self.runs[run.task, run.number]
         self.sequence += 1
-        self.ends.append(CompletionReport(self.sequence, run.task, run.number, end, ""))
-        self.highest_ended[run.task] = max(
-            run.number, self.highest_ended.get(run.task, 0)
+        self.completions.append(
+            CompletionReport(self.sequence, run.task, run.number, outcome, "")
         )
-        self._fleet.note_end(self, run, end)
+        self.highest_ended_by_task[run.task] = max(
+            run.number, self.highest_ended_by_task.get(run.task, 0)
+        )
+        self._fleet.record_end(self, run, outcome)
 
     def restart(self) -> None:
-        """Lose everything and begin a new boot."""
-        self._fleet.note_loss(self)
+        """Lose all runs and state and begin a new boot."""
+        self._fleet.record_restart(self)
         self.boot = self._clock.now_ms()
         self.runs.clear()
-        self.ends.clear()
+        self.completions.clear()
         self.sequence = self.fence = self.deadline_ms = 0
-        self.highest_ended.clear()
+        self.highest_ended_by_task.clear()
 
     def start(self, order: StartOrder) -> OrderReply:
-        """Carry out a start."""
+        """Start a run.
+
+        :returns: ``FENCED`` if a newer fencing token was seen before, ``LATE``
+            after the lease's end, ``DUPLICATE`` if the run has ended, ``NO_CAPACITY``
+            if it does not fit, otherwise ``OK``.
+        """
         self.end_due_runs()
         if order.fence < self.fence:
-            return OrderReply(OrderVerdict.FENCED, self.clock_ms())
+            return OrderReply(OrderVerdict.FENCED, self.read_clock_ms())
         self.fence = order.fence
-        if order.deadline_ms <= self.clock_ms():
-            return OrderReply(OrderVerdict.LATE, self.clock_ms())
+        if order.deadline_ms <= self.read_clock_ms():
+            return OrderReply(OrderVerdict.LATE, self.read_clock_ms())
         self.deadline_ms = max(self.deadline_ms, order.deadline_ms)
         if (order.task, order.number) in self.runs:
-            return OrderReply(OrderVerdict.OK, self.clock_ms())
-        if order.number <= self.highest_ended.get(order.task, 0):
-            return OrderReply(OrderVerdict.DUPLICATE, self.clock_ms())
-        if self.used() + self._fleet.cpu_of(order.task) > self.entry.capacity.cpu:
+            return OrderReply(OrderVerdict.OK, self.read_clock_ms())
+        if order.number <= self.highest_ended_by_task.get(order.task, 0):
+            return OrderReply(OrderVerdict.DUPLICATE, self.read_clock_ms())
+        if (
+            self.compute_used_cpu() + self._fleet.get_cpu(order.task)
+            > self.entry.capacity.cpu
+        ):
             self._fleet.rejections += 1
-            return OrderReply(OrderVerdict.NO_CAPACITY, self.clock_ms())
+            return OrderReply(OrderVerdict.NO_CAPACITY, self.read_clock_ms())
         now_ms = self._clock.now_ms()
         run = VirtualRun(
             order.task,
             order.number,
-            now_ms + self._fleet.duration_of(order.task) * self.slowdown_factor,
+            now_ms + self._fleet.get_duration_ms(order.task) * self.slowdown_factor,
             now_ms,
         )
         self.runs[run.task, run.number] = run
-        self._fleet.note_start(self, run)
-        return OrderReply(OrderVerdict.OK, self.clock_ms())
+        self._fleet.record_start(self, run)
+        return OrderReply(OrderVerdict.OK, self.read_clock_ms())
 
     def stop(self, task: str, number: int, fence: int) -> OrderReply:
-        """Carry out a stop."""
+        """Stop a run; one that has not started can no longer start.
+
+        :returns: ``FENCED`` if a newer fencing token was seen before,
+            otherwise ``OK``.
+        """
         self.end_due_runs()
         if fence < self.fence:
-            return OrderReply(OrderVerdict.FENCED, self.clock_ms())
+            return OrderReply(OrderVerdict.FENCED, self.read_clock_ms())
         self.fence = fence
         run = self.runs.get((task, number))
         if run is None:
-            self.highest_ended[task] = max(number, self.highest_ended.get(task, 0))
+            self.highest_ended_by_task[task] = max(
+                number, self.highest_ended_by_task.get(task, 0)
+            )
         else:
             run.stopping = True
-            run.end_ms = min(run.end_ms, self._clock.now_ms() + STOP_MS)
-        return OrderReply(OrderVerdict.OK, self.clock_ms())
+            run.end_ms = min(run.end_ms, self._clock.now_ms() + STOP_DURATION_MS)
+        return OrderReply(OrderVerdict.OK, self.read_clock_ms())
 
-    def hold(self, fence: int, acknowledged: int, deadline_ms: int) -> OrderVerdict:
-        """Take over fence, acknowledgement and lease of a look."""
+    def apply_poll_parameters(
+        self, fence: int, acknowledged: int, deadline_ms: int
+    ) -> OrderVerdict:
+        """Apply fencing token, acknowledgement and lease extension of a poll.
+
+        :param acknowledged: sequence number up to which completions are dropped.
+        :param deadline_ms: end of the lease, on the executor's own clock.
+        """
         self.end_due_runs()
         if fence < self.fence:
             return OrderVerdict.FENCED
         self.fence = fence
         self.deadline_ms = max(self.deadline_ms, deadline_ms)
-        for row in self.ends:
+        for row in self.completions:
             if row.sequence <= acknowledged:
-                self._fleet.note_acknowledged(row)
-        self.ends = [row for row in self.ends if row.sequence > acknowledged]
+                self._fleet.record_acknowledgement(row)
+        self.completions = [
+            row for row in self.completions if row.sequence > acknowledged
+        ]
         return OrderVerdict.OK
 
-    def look(self, verdict: OrderVerdict) -> PollReply:
-        """Return the lists."""
+    def build_poll_reply(self, verdict: OrderVerdict) -> PollReply:
+        """Build the answer to a poll from the current runs and completions."""
         now_ms = self._clock.now_ms()
-        rows = []
+        running_reports = []
         for run in self.runs.values():
-            length = max(1, run.end_ms - run.begin_ms)
-            percent = min(100.0, 100.0 * (now_ms - run.begin_ms) / length)
-            if self._fleet.lasts(run.task):
-                percent = 100.0 if now_ms - run.begin_ms > 500 else 0.0
-            rows.append(RunningReport(run.task, run.number, "", percent, 0.0))
+            duration_ms = max(1, run.end_ms - run.start_ms)
+            percent = min(100.0, 100.0 * (now_ms - run.start_ms) / duration_ms)
+            if self._fleet.is_long_running(run.task):
+                percent = 100.0 if now_ms - run.start_ms > 500 else 0.0
+            running_reports.append(
+                RunningReport(run.task, run.number, "", percent, 0.0)
+            )
         return PollReply(
-            verdict, self.clock_ms(), self.boot, tuple(rows), tuple(self.ends)
+            verdict,
+            self.read_clock_ms(),
+            self.boot,
+            tuple(running_reports),
+            tuple(self.completions),
         )
 
 
 class VirtualFleet:
     """Executors in virtual time; stands in for ``ExecutorClient``.
 
-    It also checks promises: at most one run of a task at a time, and none after an
-    acknowledged ``done``.
+    It also checks two invariants: a task has at most one run at a time, and none
+    after its outcome ``done`` was acknowledged.
 
-    :ivar violations: broken promises, in words.
+    :param seed: seed of the starts that get no answer.
+    :ivar violations: messages about broken invariants.
+    :ivar rejections: starts refused for lack of capacity.
     """
 
     def __init__(self, loop: VirtualLoop, store: VirtualStore, seed: int = 1) -> None:
@@ -433,16 +491,16 @@
         self.violations: list[str] = []
         self.rejections = 0
         self.starts = 0
-        self.looks = 0
-        self._cpu_by_step: dict[str, int] = {}
-        self._duration_by_step: dict[str, int] = {}
-        self._lasting: set[str] = set()
-        self._done: set[str] = set()
-        self._acknowledged: set[str] = set()
-        self._running: dict[str, list[tuple[str, int]]] = {}
+        self.polls = 0
+        self._cpu_by_submission: dict[str, int] = {}
+        self._duration_ms_by_submission: dict[str, int] = {}
+        self._long_running_submissions: set[str] = set()
+        self._done_tasks: set[str] = set()
+        self._acknowledged_tasks: set[str] = set()
+        self._running_by_task: dict[str, list[tuple[str, int]]] = {}
         self.done_ms_by_task: dict[str, int] = {}
         self.started_tasks: set[str] = set()
-        #: Submissions of which copies of a task may run side by side.
+        #: Submissions whose tasks may have several runs at a time.
         self.speculative_submissions: set[str] = set()
 
     def add(
@@ -453,7 +511,10 @@
         rack: str = "r1",
         machine: str = "",
     ) -> VirtualExecutor:
-        """Add an executor and its entry."""
+        """Add an executor and write its entry to the store.
+
+        :param cpu: capacity in thousandths of a core.
+        """
         entry = ExecutorEntry(
             id=executor_id,
             service=service,
@@ -474,91 +535,100 @@
     def set_task_profile(
         self, submission_id: str, cpu: int, duration_ms: int, long_running: bool = False
     ) -> None:
-        """Set the true size and duration of a submission's tasks."""
-        self._cpu_by_step[submission_id] = cpu
-        self._duration_by_step[submission_id] = duration_ms
+        """Set what the tasks of a submission really use and how long they take.
+
+        :param cpu: cpu per task, in thousandths of a core.
+        :param long_running: the tasks run until they are stopped.
+        """
+        self._cpu_by_submission[submission_id] = cpu
+        self._duration_ms_by_submission[submission_id] = duration_ms
         if long_running:
-            self._lasting.add(submission_id)
+            self._long_running_submissions.add(submission_id)
 
-    def cpu_of(self, task: str) -> int:
-        """Cpu of a task."""
-        return self._cpu_by_step.get(task.partition(".")[0], 1_000)
+    def get_cpu(self, task: str) -> int:
+        """Return the cpu of a task in thousandths of a core."""
+        return self._cpu_by_submission.get(task.partition(".")[0], 1_000)
 
-    def duration_of(self, task: str) -> int:
-        """Duration of a task."""
+    def get_duration_ms(self, task: str) -> int:
+        """Return the duration of a task in milliseconds."""
         submission_id = task.partition(".")[0]
-        if submission_id in self._lasting:
+        if submission_id in self._long_running_submissions:
             return 10_000_000
-        return self._duration_by_step.get(submission_id, 1_000)
+        return self._duration_ms_by_submission.get(submission_id, 1_000)
 
-    def lasts(self, task: str) -> bool:
-        """Whether a task lasts."""
-        return task.partition(".")[0] in self._lasting
+    def is_long_running(self, task: str) -> bool:
+        """Return whether a task runs until it is stopped."""
+        return task.partition(".")[0] in self._long_running_submissions
 
-    def note_start(self, executor: VirtualExecutor, run: VirtualRun) -> None:
-        """Check the promises at a start."""
+    def record_start(self, executor: VirtualExecutor, run: VirtualRun) -> None:
+        """Record the start of a run and check the invariants."""
         self.starts += 1
         self.started_tasks.add(run.task)
         for other in self.executors_by_id.values():
             other.end_due_runs()
-        running = self._running.setdefault(run.task, [])
+        running = self._running_by_task.setdefault(run.task, [])
         if running and run.task.partition(".")[0] not in self.speculative_submissions:
-            self.violations.append(f"two runs of {run.task}")
-        if run.task in self._acknowledged:
-            self.violations.append(f"{run.task} started after its end was noted")
+            self.violations.append(f"two runs of {run.task} at the same time")
+        if run.task in self._acknowledged_tasks:
+            self.violations.append(
+                f"{run.task} started after its completion was acknowledged"
+            )
         running.append((executor.entry.id, run.number))
 
-    def note_end(
-        self, executor: VirtualExecutor, run: VirtualRun, end: RunOutcome
+    def record_end(
+        self, executor: VirtualExecutor, run: VirtualRun, outcome: RunOutcome
     ) -> None:
-        """Note an end."""
-        running = self._running.get(run.task, [])
+        """Record the end of a run."""
+        running = self._running_by_task.get(run.task, [])
         if (executor.entry.id, run.number) in running:
             running.remove((executor.entry.id, run.number))
-        if end is RunOutcome.DONE:
-            self._done.add(run.task)
+        if outcome is RunOutcome.DONE:
+            self._done_tasks.add(run.task)
             self.done_ms_by_task.setdefault(run.task, run.end_ms)
 
-    def note_loss(self, executor: VirtualExecutor) -> None:
-        """Note that a crash has ended all runs."""
+    def record_restart(self, executor: VirtualExecutor) -> None:
+        """Record that a restart of an executor has ended all its runs."""
         for run in executor.runs.values():
-            self.note_end(executor, run, RunOutcome.EXPIRED)
+            self.record_end(executor, run, RunOutcome.EXPIRED)
 
-    def note_acknowledged(self, row: CompletionReport) -> None:
-        """Note that a leader has taken note of an end."""
+    def record_acknowledgement(self, row: CompletionReport) -> None:
+        """Record that a leader has acknowledged a completion."""
         if row.outcome is RunOutcome.DONE:
-            self._acknowledged.add(row.task)
+            self._acknowledged_tasks.add(row.task)
 
     def _deliver(
         self,
         entry: ExecutorEntry,
-        work: t.Callable[[VirtualExecutor], t.Any],
+        operation: t.Callable[[VirtualExecutor], t.Any],
         done: t.Callable[[t.Any], None],
-        lost: t.Any,
-        mutable: bool = False,
+        unanswered_reply: t.Any,
+        may_go_unanswered: bool = False,
     ) -> None:
         executor = self.executors_by_id[entry.id]
 
-        def arrive() -> None:
+        def process_call() -> None:
             if executor.isolated:
-                self._loop.after(700, lambda: done(lost))
+                self._loop.after(700, lambda: done(unanswered_reply))
                 return
-            if mutable and self._random.random() < executor.unanswered_start_share:
-                late_ms = self._random.randint(2_000, 6_000)
-                self._loop.after(late_ms, lambda: work(executor))
-                self._loop.after(700, lambda: done(lost))
+            if (
+                may_go_unanswered
+                and self._random.random() < executor.unanswered_start_share
+            ):
+                extra_delay_ms = self._random.randint(2_000, 6_000)
+                self._loop.after(extra_delay_ms, lambda: operation(executor))
+                self._loop.after(700, lambda: done(unanswered_reply))
                 return
-            reply = work(executor)
+            reply = operation(executor)
 
-            def leave() -> None:
+            def deliver_reply() -> None:
                 if executor.isolated:
-                    self._loop.after(700, lambda: done(lost))
+                    self._loop.after(700, lambda: done(unanswered_reply))
                 else:
                     done(reply)
 
-            self._loop.after(DELAY_MS, leave)
+            self._loop.after(NETWORK_DELAY_MS, deliver_reply)
 
-        self._loop.after(DELAY_MS, arrive)
+        self._loop.after(NETWORK_DELAY_MS, process_call)
 
     def start(
         self,
@@ -567,8 +637,14 @@
         done: t.Callable[[OrderReply], None],
     ) -> None:
         """See ``ExecutorClient.start``."""
-        lost = OrderReply(OrderVerdict.UNKNOWN)
-        self._deliver(entry, lambda x: x.start(order), done, lost, mutable=True)
+        unanswered_reply = OrderReply(OrderVerdict.UNKNOWN)
+        self._deliver(
+            entry,
+            lambda executor: executor.start(order),
+            done,
+            unanswered_reply,
+            may_go_unanswered=True,
+        )
 
     def stop(
         self,
@@ -579,11 +655,16 @@
         done: t.Callable[[OrderReply], None],
     ) -> None:
         """See ``ExecutorClient.stop``."""
-        lost = OrderReply(OrderVerdict.UNKNOWN)
-        self._deliver(entry, lambda x: x.stop(task, number, fence), done, lost)
+        unanswered_reply = OrderReply(OrderVerdict.UNKNOWN)
+        self._deliver(
+            entry,
+            lambda executor: executor.stop(task, number, fence),
+            done,
+            unanswered_reply,
+        )
 
     def throttle(self, *args: t.Any) -> None:
-        """See ``ExecutorClient.throttle``; the pace has no effect here."""
+        """See ``ExecutorClient.throttle``; throttling has no effect here."""
         args[-1](OrderReply(OrderVerdict.OK))
 
     def poll(
@@ -596,31 +677,31 @@
         done: t.Callable[[PollReply], None],
     ) -> None:
         """See ``ExecutorClient.poll``."""
-        self.looks += 1
+        self.polls += 1
         executor = self.executors_by_id[entry.id]
-        give_up_ms = self._loop.clock.now_ms() + wait_ms
+        wait_end_ms = self._loop.clock.now_ms() + wait_ms
 
-        def arrive() -> None:
+        def process_call() -> None:
             if executor.isolated:
                 self._loop.after(
                     700 + wait_ms, lambda: done(PollReply(OrderVerdict.UNKNOWN))
                 )
                 return
-            verdict = executor.hold(fence, acknowledged, deadline_ms)
+            verdict = executor.apply_poll_parameters(fence, acknowledged, deadline_ms)
             if verdict is OrderVerdict.OK:
                 poll()
             else:
-                self._loop.after(DELAY_MS, lambda: done(PollReply(verdict)))
+                self._loop.after(NETWORK_DELAY_MS, lambda: done(PollReply(verdict)))
 
         def poll() -> None:
             if executor.isolated:
                 self._loop.after(700, lambda: done(PollReply(OrderVerdict.UNKNOWN)))
                 return
             executor.end_due_runs()
-            if executor.ends or self._loop.clock.now_ms() >= give_up_ms:
-                look = executor.look(OrderVerdict.OK)
-                self._loop.after(DELAY_MS, lambda: done(look))
+            if executor.completions or self._loop.clock.now_ms() >= wait_end_ms:
+                reply = executor.build_poll_reply(OrderVerdict.OK)
+                self._loop.after(NETWORK_DELAY_MS, lambda: done(reply))
             else:
-                self._loop.after(STEP_MS, poll)
+                self._loop.after(POLL_INTERVAL_MS, poll)
 
-        self._loop.after(DELAY_MS, arrive)
+        self._loop.after(NETWORK_DELAY_MS, process_call)
--- a/src/cranberrywheel_standin/worker.py
+++ b/src/cranberrywheel_standin/worker.py
@@ -1,4 +1,4 @@
-"""Stand-in for a worker: slots, tasks under leases, start tokens and faults."""
+"""State of a worker stand-in: slots, tasks with leases, start tokens and faults."""
 
 import collections
 import dataclasses
@@ -8,19 +8,19 @@
 import typing as t
 
 TOKEN_LIFETIME_MS = 2_000
-#: longest task wait between two looks at the clock.
+#: Longest wait for a task between two readings of the clock.
 MAX_WAIT_S = 0.25
-#: ended tasks kept for duplicate refusal and ``GET /v1/tasks/<id>``.
+#: Ended tasks that are kept to refuse duplicates and to answer ``GET /v1/tasks/<id>``.
 MAX_ENDED_TASKS = 50_000
 
 
 def monotonic_ms() -> int:
-    """Return the clock of this worker in milliseconds."""
+    """Return the monotonic clock in milliseconds."""
     return time.monotonic_ns() // 1_000_000
 
 
 class StartRefusedError(Exception):
-    """A start or renewal that certainly had no effect.
+    """A start or lease renewal was refused and had no effect.
 
     :param kind: ``stale-token``, ``busy``, ``draining``, ``duplicate`` or
         ``does-not-fit``.
@@ -33,14 +33,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WorkerConfig:
-    """One worker of the stand-in.
+    """Settings of one worker stand-in.
 
     :param port: listening port; 0 picks a free one.
-    :param addresses: address by zone that asks, where it is not the worker's own.
     :param run_ms: run time of tasks that do not state one.
     :param stop_ms: time that a task needs to stop.
-    :param usage_lag_ms: age of the usage that is reported.
-    :param reboot_ms: time in which a rebooting worker answers 503.
+    :param usage_lag_ms: age of the reported usage.
+    :param reboot_ms: time for which a rebooting worker answers 503.
+    :param addresses: address of this worker by zone of the caller, for zones that
+        reach it through a relay.
     """
 
     name: str
@@ -60,15 +61,15 @@
 
 @dataclasses.dataclass(kw_only=True)
 class WorkerFaults:
-    """Faults of one worker, set with ``PUT /v1/faults``.
-
-    :param fail: every task fails at once.
-    :param slow_factor: tasks take this many times their run time.
-    :param late_ms: delay of each task answer after the task ended.
-    :param truncate: how many of the next task answers break off half-way.
-    :param cross: how many of the next task answers carry another task's id.
-    :param lose_answers: how many of the next tasks run without an answer.
-    :param freeze: answer nothing until this is false again.
+    """Injected faults of one worker, set with ``PUT /v1/faults``.
+
+    :param fail: every task fails at its start.
+    :param slow_factor: factor on the run time of tasks.
+    :param late_ms: delay between the end of a task and its answer.
+    :param truncate: number of coming task answers that are cut off in the middle.
+    :param cross: number of coming task answers that are those of another task.
+    :param lose_answers: number of coming task answers that are not sent.
+    :param freeze: calls are not answered until this is false again.
     """
 
     fail: bool = False
@@ -82,11 +83,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StartOrder:
-    """What a start asks for.
+    """Request to start a task.
 
-    :param deadline_ms: time left until the task is useless; 0 for none.
+    :param lease_ms: duration of the task's lease.
+    :param run_ms: run time of the task.
+    :param deadline_ms: time left until the result is no longer needed; 0 for none.
     :param checkpoint: id of a checkpointed task to continue.
-    :param request: the caller's token of the call, for the history.
+    :param request: the caller's id of the call, for the history.
     """
 
     task_id: str
@@ -105,12 +108,13 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Task:
-    """A task that was started.
+    """A started task.
 
-    :param remaining_ms: work left, at full speed, at ``updated_ms``.
+    :param remaining_ms: run time left at ``updated_ms``, at full speed.
     :param throttled: whether it runs only on slots that no other task needs.
-    :param speed: part of full speed since ``updated_ms``.
+    :param speed: fraction of full speed since ``updated_ms``.
     :param stop_at_ms: when a requested stop takes effect.
+    :param state: ``running``, ``finished``, ``stopped`` or ``failed``.
     :param reason: why the task was stopped or failed.
     """
 
@@ -127,25 +131,25 @@
     reason: str = ""
 
     def next_change_ms(self) -> float:
-        """Return when this task changes state without further calls."""
-        ends = [self.lease_end_ms]
+        """Return when this task ends if no further call changes it, in milliseconds."""
+        end_times_ms = [self.lease_end_ms]
         if self.speed > 0:
-            ends.append(self.updated_ms + self.remaining_ms / self.speed)
+            end_times_ms.append(self.updated_ms + self.remaining_ms / self.speed)
         if self.deadline_end_ms is not None:
-            ends.append(self.deadline_end_ms)
+            end_times_ms.append(self.deadline_end_ms)
         if self.stop_at_ms is not None:
-            ends.append(self.stop_at_ms)
-        return min(ends)
+            end_times_ms.append(self.stop_at_ms)
+        return min(end_times_ms)
 
 
 class Worker:
     """State of one worker; safe to use from several threads.
 
-    :param config: name, place and size.
-    :param now_ms: own clock; replaceable in tests.
-    :param record: receives ``task_start`` and ``task_end``, worker name and task.
-    :param checkpoints: work left by checkpointed task; workers that share it
-        can continue each other's tasks.
+    :param now_ms: the worker's clock in milliseconds; tests replace it.
+    :param record: called with ``task_start`` or ``task_end``, the worker's name and
+        the task.
+    :param checkpoints: remaining run time in milliseconds by id of a checkpointed
+        task; workers that share the mapping can continue each other's tasks.
     """
 
     def __init__(
@@ -169,69 +173,71 @@
             collections.OrderedDict()
         )
 
-    def start_token(self) -> str:
-        """Return a reading of the own clock bound to this boot."""
+    def issue_start_token(self) -> str:
+        """Return a start token: a reading of this worker's clock bound to its boot."""
         return f"{self._boot_id}.{self._now_ms()}"
 
     def _check_token(self, token: str) -> None:
         boot_id, _, reading = token.partition(".")
-        fresh = (
+        is_fresh = (
             boot_id == self._boot_id
             and reading.isdecimal()
             and 0 <= self._now_ms() - int(reading) <= TOKEN_LIFETIME_MS
         )
-        if not fresh:
+        if not is_fresh:
             raise StartRefusedError("stale-token")
 
     def is_up(self) -> bool:
-        """Return whether the last reboot has ended."""
+        """Return whether the last reboot is complete."""
         return self._now_ms() >= self._up_at_ms
 
-    def slots_free(self) -> int:
-        """Return the slots that no unthrottled task uses."""
+    def count_free_slots(self) -> int:
+        """Return the number of slots that no unthrottled task uses."""
         with self.changed:
-            self._settle()
-            return self._slots_free()
+            self._end_due_tasks()
+            return self._count_free_slots()
 
-    def _slots_free(self) -> int:
-        used = sum(not task.throttled for task in self._running_by_id.values())
-        return self.config.slots - used
+    def _count_free_slots(self) -> int:
+        used_slots = sum(not task.throttled for task in self._running_by_id.values())
+        return self.config.slots - used_slots
 
     def _share_slots(self) -> None:
-        """Divide the slots that are left among the throttled tasks."""
-        throttled = [x for x in self._running_by_id.values() if x.throttled]
+        """Divide the free slots among the throttled tasks by setting their speed."""
+        throttled = [task for task in self._running_by_id.values() if task.throttled]
         for task in throttled:
-            task.speed = min(1.0, self._slots_free() / len(throttled))
+            task.speed = min(1.0, self._count_free_slots() / len(throttled))
         self.changed.notify_all()
 
     def start(self, order: StartOrder) -> Task:
         """Start a task.
 
-        :raises StartRefusedError: if it was certainly not started.
+        :raises StartRefusedError: if the task was not started.
         """
         with self.changed:
-            self._settle()
-            now = self._now_ms()
+            self._end_due_tasks()
+            now_ms = self._now_ms()
             self._check_token(order.token)
             if self.draining:
                 raise StartRefusedError("draining")
-            known = order.task_id in self._running_by_id
-            if known or order.task_id in self._ended_by_id:
+            is_running = order.task_id in self._running_by_id
+            if is_running or order.task_id in self._ended_by_id:
                 raise StartRefusedError("duplicate")
             config = self.config
             if order.cores > config.cores or order.memory_mb > config.memory_mb:
                 raise StartRefusedError("does-not-fit")
-            if self._slots_free() < 1:
+            if self._count_free_slots() < 1:
                 raise StartRefusedError("busy")
             if order.checkpoint and order.checkpoint not in self._checkpoints:
                 raise StartRefusedError("no-checkpoint")
             work_ms = self._checkpoints.pop(order.checkpoint, float(order.run_ms))
             task = Task(
                 order=order,
-                started_ms=now,
-                updated_ms=now,
-                lease_end_ms=now + order.lease_ms,
-                deadline_end_ms=now + order.deadline_ms if order.deadline_ms else None,
+                started_ms=now_ms,
+                updated_ms=now_ms,
+                lease_end_ms=now_ms + order.lease_ms,
+                deadline_end_ms=now_ms + order.deadline_ms
+                if order.deadline_ms
+                else None,
                 remaining_ms=work_ms * self.faults.slow_factor,
             )
             self._running_by_id[order.task_id] = task
@@ -251,77 +257,78 @@
         self._record("task_end", self.config.name, task)
         self._share_slots()
 
-    def _settle(self) -> None:
-        """End the tasks whose work, lease, deadline or stop time has come."""
-        now = self._now_ms()
+    def _end_due_tasks(self) -> None:
+        """End the tasks that are complete, stopped or past their lease or deadline."""
+        now_ms = self._now_ms()
         for task in list(self._running_by_id.values()):
-            task.remaining_ms -= (now - task.updated_ms) * task.speed
-            task.updated_ms = now
-            if task.stop_at_ms is not None and task.stop_at_ms <= now:
+            task.remaining_ms -= (now_ms - task.updated_ms) * task.speed
+            task.updated_ms = now_ms
+            if task.stop_at_ms is not None and task.stop_at_ms <= now_ms:
                 self._end(task, "stopped", task.reason)
             elif task.remaining_ms <= 0:
                 self._end(task, "finished", "")
-            elif task.lease_end_ms <= now:
+            elif task.lease_end_ms <= now_ms:
                 self._end(task, "stopped", "lease-expired")
-            elif task.deadline_end_ms is not None and task.deadline_end_ms <= now:
+            elif task.deadline_end_ms is not None and task.deadline_end_ms <= now_ms:
                 self._end(task, "stopped", "deadline")
 
-    def wait(self, task: Task) -> None:
+    def wait_until_ended(self, task: Task) -> None:
         """Block until a task has ended."""
         with self.changed:
             while True:
-                self._settle()
+                self._end_due_tasks()
                 if task.state != "running":
                     return
                 wait_ms = task.next_change_ms() - self._now_ms()
                 self.changed.wait(min(max(wait_ms, 0) / 1000 + 0.001, MAX_WAIT_S))
 
-    def find_other(self, task: Task) -> Task | None:
-        """Return the newest other task, for a crossed answer."""
+    def find_latest_other(self, task: Task) -> Task | None:
+        """Return the latest other task, to answer with its result by mistake."""
         with self.changed:
             others = [*self._ended_by_id.values(), *self._running_by_id.values()]
         return next((other for other in reversed(others) if other is not task), None)
 
-    def find(self, task_id: str) -> Task | None:
-        """Return a task that runs or that ended since the last boot."""
+    def find_task(self, task_id: str) -> Task | None:
+        """Return a task that is running or has ended since the last boot."""
         with self.changed:
-            self._settle()
+            self._end_due_tasks()
             return self._running_by_id.get(task_id) or self._ended_by_id.get(task_id)
 
-    def running(self) -> list[Task]:
+    def list_running(self) -> list[Task]:
         """Return the running tasks."""
         with self.changed:
-            self._settle()
+            self._end_due_tasks()
             return list(self._running_by_id.values())
 
     def renew(self, task: Task, token: str, lease_ms: int) -> None:
         """Renew the lease of a task.
 
+        :param lease_ms: new duration of the lease from now.
         :raises StartRefusedError: if the token is stale.
         """
         with self.changed:
-            self._settle()
+            self._end_due_tasks()
             self._check_token(token)
             if task.state == "running":
                 task.lease_end_ms = self._now_ms() + lease_ms
                 self.changed.notify_all()
 
-    def stop(self, task: Task, reason: str = "stop-requested") -> None:
-        """Ask a task to stop; :meth:`wait` returns when it has."""
+    def request_stop(self, task: Task, reason: str = "stop-requested") -> None:
+        """Request the stop of a task; :meth:`wait_until_ended` waits for it."""
         with self.changed:
-            self._settle()
+            self._end_due_tasks()
             if task.state == "running" and task.stop_at_ms is None:
                 task.stop_at_ms = self._now_ms() + self.config.stop_ms
                 task.reason = reason
                 self.changed.notify_all()
 
     def checkpoint(self, task: Task) -> bool:
-        """Stop a task and keep its progress for a start that names it.
+        """Stop a task and keep its progress for a start that continues it.
 
-        :returns: false if the task had already ended.
+        :returns: whether the task was running.
         """
         with self.changed:
-            self._settle()
+            self._end_due_tasks()
             if task.state != "running":
                 return False
             self._checkpoints[task.order.task_id] = task.remaining_ms
@@ -329,18 +336,18 @@
             return True
 
     def throttle(self, task: Task) -> None:
-        """Let a task run only on slots that no other task needs."""
+        """Run a task only on slots that no other task needs."""
         with self.changed:
-            self._settle()
+            self._end_due_tasks()
             if task.state == "running":
                 task.throttled = True
                 self._share_slots()
 
-    def usage(self) -> list[dict[str, t.Any]]:
-        """Return the use of the running tasks as it was one lag ago."""
+    def list_usage(self) -> list[dict[str, t.Any]]:
+        """Return the usage of the tasks that were running ``usage_lag_ms`` ago."""
         with self.changed:
-            self._settle()
-            seen_ms = self._now_ms() - self.config.usage_lag_ms
+            self._end_due_tasks()
+            reported_ms = self._now_ms() - self.config.usage_lag_ms
             return [
                 {
                     "id": task.order.task_id,
@@ -348,20 +355,21 @@
                     "queue": task.order.queue,
                     "cores": task.order.cores,
                     "memory_mb": task.order.memory_mb,
-                    "run_ms": seen_ms - task.started_ms,
+                    "run_ms": reported_ms - task.started_ms,
                 }
                 for task in self._running_by_id.values()
-                if task.started_ms <= seen_ms
+                if task.started_ms <= reported_ms
             ]
 
-    def control(self, action: str) -> None:
-        """Obey the platform: ``drain``, ``undrain`` or ``reboot``.
+    def apply_control(self, action: str) -> None:
+        """Apply an action of the platform: ``drain``, ``undrain`` or ``reboot``.
 
-        A reboot stops all tasks, forgets ended ones and makes earlier start
-        tokens stale. The drain lasts through it until an undrain.
+        A reboot stops all tasks, discards the ended ones and makes earlier start
+        tokens stale. A drained worker stays drained through a reboot until it is
+        undrained.
         """
         with self.changed:
-            self._settle()
+            self._end_due_tasks()
             if action in ("drain", "undrain"):
                 self.draining = action == "drain"
                 return
--- a/src/cranberrywheel_standin/worker_app.py
+++ b/src/cranberrywheel_standin/worker_app.py
@@ -20,15 +20,18 @@
     WorkerFaults,
 )
 
-FREEZE_POLL_S = 0.05
+#: Interval at which a frozen call checks whether the freeze is over.
+FREEZE_POLL_INTERVAL_S = 0.05
 
 
-def digest(body: bytes) -> str:
-    """Return the digest that a task's answer carries of its request body."""
+def compute_digest(body: bytes) -> str:
+    """Return the digest of a request body that the task's answer repeats."""
     return hashlib.sha256(body).hexdigest()
 
 
-def _json(body: t.Any, status: int = 200, **headers: str) -> werkzeug.Response:
+def _build_json_response(
+    body: t.Any, status: int = 200, **headers: str
+) -> werkzeug.Response:
     response = werkzeug.Response(
         json.dumps(body), status=status, content_type="application/json"
     )
@@ -37,22 +40,24 @@
     return response
 
 
-def read_order(
+def parse_start_order(
     request: werkzeug.Request, task_id: str, default_run_ms: int
 ) -> StartOrder:
-    """Read a start from the headers and, if it is JSON, the body.
+    """Parse a start from the request headers and, if it is JSON, the body.
 
-    The body may state ``request`` and the true ``run_ms``; the header ``Run-Ms``
-    carries what the operators declared.
+    The body may state ``request`` and the real ``run_ms``; the header ``Run-Ms``
+    carries the run time that the operators declared.
+
+    :param default_run_ms: run time if neither states one.
     """
     headers, body = request.headers, request.get_data()
-    stated: dict[str, t.Any] = {}
+    stated_values: dict[str, t.Any] = {}
     try:
         parsed = json.loads(body) if body else {}
-        stated = parsed if isinstance(parsed, dict) else {}
+        stated_values = parsed if isinstance(parsed, dict) else {}
     except ValueError:
         pass
-    run_ms = stated.get("run_ms") or headers.get("Run-Ms") or default_run_ms
+    run_ms = stated_values.get("run_ms") or headers.get("Run-Ms") or default_run_ms
     return StartOrder(
         task_id=task_id,
         token=headers.get("Start-Token", ""),
@@ -64,8 +69,8 @@
         cores=float(headers.get("Cores", 1)),
         memory_mb=int(headers.get("Memory-Mb", 0)),
         checkpoint=headers.get("Checkpoint", ""),
-        request=str(stated.get("request", "")),
-        body_digest=digest(body),
+        request=str(stated_values.get("request", "")),
+        body_digest=compute_digest(body),
     )
 
 
@@ -87,7 +92,7 @@
                 ),
                 Rule(
                     "/v1/tasks/<task_id>/<any(lease,stop,checkpoint,throttle):action>",
-                    endpoint=self._act,
+                    endpoint=self._control_task,
                     methods=["POST"],
                 ),
                 Rule("/v1/usage", endpoint=self._usage, methods=["GET"]),
@@ -106,53 +111,64 @@
             endpoint, values = self._routes.bind_to_environ(environ).match()
             if endpoint not in (self._faults, self._control):
                 while self.worker.faults.freeze:
-                    time.sleep(FREEZE_POLL_S)
+                    time.sleep(FREEZE_POLL_INTERVAL_S)
                 if not self.worker.is_up():
-                    return _json({}, 503)(environ, start_response)
+                    return _build_json_response({}, 503)(environ, start_response)
             response = endpoint(request, **values)
         except StartRefusedError as error:
-            response = self._refusal(error.kind)
+            response = self._build_refusal(error.kind)
         except HTTPException as error:
             response = t.cast(werkzeug.Response, error.get_response(environ))
         return response(environ, start_response)
 
-    def _refusal(self, kind: str) -> werkzeug.Response:
-        response = _json(
-            {"kind": kind, "outcome": "not-run"}, 409, **self._state_headers()
+    def _build_refusal(self, kind: str) -> werkzeug.Response:
+        response = _build_json_response(
+            {"kind": kind, "outcome": "not-run"}, 409, **self._build_state_headers()
         )
         response.content_type = "application/problem+json"
         return response
 
-    def _state_headers(self) -> dict[str, str]:
+    def _build_state_headers(self) -> dict[str, str]:
         return {
-            "Next_Start_Token": self.worker.start_token(),
-            "Slots_Free": str(self.worker.slots_free()),
+            "Next_Start_Token": self.worker.issue_start_token(),
+            "Slots_Free": str(self.worker.count_free_slots()),
         }
 
     def _token(self, request: werkzeug.Request) -> werkzeug.Response:
-        token = self.worker.start_token()
-        return _json({"token": token, "lifetime_ms": TOKEN_LIFETIME_MS})
+        token = self.worker.issue_start_token()
+        return _build_json_response({"token": token, "lifetime_ms": TOKEN_LIFETIME_MS})
 
     def _run(self, request: werkzeug.Request, task_id: str) -> werkzeug.Response:
-        order = read_order(request, task_id, self.worker.config.run_ms)
+        order = parse_start_order(request, task_id, self.worker.config.run_ms)
         task = self.worker.start(order)
-        self.worker.wait(task)
-        return self._answer(request, task)
+        self.worker.wait_until_ended(task)
+        return self._build_task_answer(request, task)
 
-    def _answer(self, request: werkzeug.Request, task: Task) -> werkzeug.Response:
+    def _build_task_answer(
+        self, request: werkzeug.Request, task: Task
+    ) -> werkzeug.Response:
         faults = self.worker.faults
         while self.worker.faults.freeze:
-            time.sleep(FREEZE_POLL_S)
+            time.sleep(FREEZE_POLL_INTERVAL_S)
         if faults.late_ms:
             time.sleep(faults.late_ms / 1000)
-        shown = self._damage(request, task)
-        headers = {"Task_Id": shown.order.task_id, **self._state_headers()}
-        if shown.state == "finished":
-            return _json(self._result_body(shown), 200, **headers)
-        kind = shown.reason if shown.state == "stopped" else "task-failed"
-        return _json({"kind": kind, "task": shown.order.task_id}, 500, **headers)
-
-    def _result_body(self, task: Task) -> dict[str, t.Any]:
+        answered_task = self._apply_answer_fault(request, task)
+        headers = {
+            "Task_Id": answered_task.order.task_id,
+            **self._build_state_headers(),
+        }
+        if answered_task.state == "finished":
+            return _build_json_response(
+                self._build_result_body(answered_task), 200, **headers
+            )
+        kind = (
+            answered_task.reason if answered_task.state == "stopped" else "task-failed"
+        )
+        return _build_json_response(
+            {"kind": kind, "task": answered_task.order.task_id}, 500, **headers
+        )
+
+    def _build_result_body(self, task: Task) -> dict[str, t.Any]:
         return {
             "task": task.order.task_id,
             "digest": task.order.body_digest,
@@ -160,8 +176,11 @@
             "worker": self.worker.config.name,
         }
 
-    def _damage(self, request: werkzeug.Request, task: Task) -> Task:
-        """Apply one pending answer fault; returns the task whose answer to send."""
+    def _apply_answer_fault(self, request: werkzeug.Request, task: Task) -> Task:
+        """Apply the next injected answer fault, if any.
+
+        :returns: the task whose result is sent; another one for a crossed answer.
+        """
         faults = self.worker.faults
         with self.worker.changed:
             if faults.lose_answers > 0:
@@ -170,13 +189,13 @@
             elif faults.truncate > 0:
                 faults.truncate -= 1
                 request.environ.setdefault(WIRE_FAULT, []).append(TRUNCATE)
-            elif faults.cross > 0 and (other := self.worker.find_other(task)):
+            elif faults.cross > 0 and (other := self.worker.find_latest_other(task)):
                 faults.cross -= 1
                 return other
         return task
 
     @staticmethod
-    def _row(task: Task) -> dict[str, t.Any]:
+    def _describe_task(task: Task) -> dict[str, t.Any]:
         return {
             "id": task.order.task_id,
             "state": task.state,
@@ -186,25 +205,25 @@
         }
 
     def _list(self, request: werkzeug.Request) -> werkzeug.Response:
-        rows = [self._row(task) for task in self.worker.running()]
-        return _json({"tasks": rows, "draining": self.worker.draining})
+        rows = [self._describe_task(task) for task in self.worker.list_running()]
+        return _build_json_response({"tasks": rows, "draining": self.worker.draining})
 
     def _find(self, task_id: str) -> Task:
-        task = self.worker.find(task_id)
+        task = self.worker.find_task(task_id)
         if task is None:
             raise NotFound()
         return task
 
     def _get(self, request: werkzeug.Request, task_id: str) -> werkzeug.Response:
-        return _json(self._row(self._find(task_id)))
+        return _build_json_response(self._describe_task(self._find(task_id)))
 
     def _result(self, request: werkzeug.Request, task_id: str) -> werkzeug.Response:
         task = self._find(task_id)
         if task.state == "running":
-            return _json({"kind": "running"}, 409)
-        return self._answer(request, task)
+            return _build_json_response({"kind": "running"}, 409)
+        return self._build_task_answer(request, task)
 
-    def _act(
+    def _control_task(
         self, request: werkzeug.Request, task_id: str, action: str
     ) -> werkzeug.Response:
         task = self._find(task_id)
@@ -213,22 +232,26 @@
             token = request.headers.get("Start-Token", "")
             self.worker.renew(task, token, lease_ms)
         elif action == "stop":
-            self.worker.stop(task)
-            self.worker.wait(task)
+            self.worker.request_stop(task)
+            self.worker.wait_until_ended(task)
         elif action == "checkpoint":
             self.worker.checkpoint(task)
         else:
             self.worker.throttle(task)
-        return _json(self._row(task), **self._state_headers())
+        return _build_json_response(
+            self._describe_task(task), **self._build_state_headers()
+        )
 
     def _usage(self, request: werkzeug.Request) -> werkzeug.Response:
         lag_ms = self.worker.config.usage_lag_ms
-        return _json({"age_ms": lag_ms, "tasks": self.worker.usage()})
+        return _build_json_response(
+            {"age_ms": lag_ms, "tasks": self.worker.list_usage()}
+        )
 
     def _control(self, request: werkzeug.Request, action: str) -> werkzeug.Response:
-        self.worker.control(action)
-        return _json({"draining": self.worker.draining})
+        self.worker.apply_control(action)
+        return _build_json_response({"draining": self.worker.draining})
 
     def _faults(self, request: werkzeug.Request) -> werkzeug.Response:
         self.worker.faults = WorkerFaults(**request.get_json())
-        return _json(dataclasses.asdict(self.worker.faults))
+        return _build_json_response(dataclasses.asdict(self.worker.faults))
