--- a/src/cranberrywheel_load/entries.py
+++ b/src/cranberrywheel_load/entry_group.py
@@ -55,11 +55,11 @@
         self.versions: list[int] = []
         self.messages: list[object] = []
         #: End of the task lease per running request, as its worker sees it.
-        self.tasks: dict[str, int] = {}
+        self.lease_ends_by_request: dict[str, int] = {}
         self.waiting_by_team: dict[str, int] = {}
         self._started = 0
         #: A paused entry does nothing; one that is cut off reaches no peer.
-        self.paused = self.cut_off = False
+        self.paused = self.isolated = False
         self.exchange = PeerExchange(
             self.settings, self.clock, f"{zone}.e{number}.{start}", self.dispatch
         )
@@ -93,7 +93,7 @@
                 for name, team in snapshot.configuration.teams_by_name.items():
                     self.ledger.set_limit(name, team.limit)
 
-    def set_down(self, down: bool) -> None:
+    def set_store_unreachable(self, down: bool) -> None:
         """Cut the entry off from the store, or connect it again."""
         for client in self.clients:
             client.down = down
@@ -113,11 +113,11 @@
         now_ms = self.clock.now_ms()
         limits = self._group.limits
         end_ms = now_ms + limits.start_token_ms + limits.task_lease_ms
-        for request_id, lease_end_ms in list(self.tasks.items()):
+        for request_id, lease_end_ms in list(self.lease_ends_by_request.items()):
             if lease_end_ms <= now_ms:
-                self.finish(request_id)
+                self.finish_task(request_id)
             elif self.ledger.has_valid_unit(request_id, now_ms):
-                self.tasks[request_id] = end_ms
+                self.lease_ends_by_request[request_id] = end_ms
         for team, waiting in self.waiting_by_team.items():
             for _ in range(waiting):
                 request_id = f"{self.process_id}/{self._started}"
@@ -125,36 +125,36 @@
                     break
                 self._started += 1
                 self.waiting_by_team[team] -= 1
-                self.tasks[request_id] = end_ms
+                self.lease_ends_by_request[request_id] = end_ms
 
-    def finish(self, request_id: str) -> None:
+    def finish_task(self, request_id: str) -> None:
         """End a running request."""
-        del self.tasks[request_id]
+        del self.lease_ends_by_request[request_id]
         self.ledger.free_unit(request_id)
 
-    def ask(self, kind: t.Callable[..., object], *fields: t.Any) -> t.Any:
+    def send_request(self, kind: t.Callable[..., object], *fields: t.Any) -> t.Any:
         """Send an operator's request; its future is the last field."""
         future: concurrent.futures.Future[t.Any] = concurrent.futures.Future()
         self.session.step(kind(*fields, future))
         return future
 
-    def apply(self, text: str, expected_text_version: int) -> t.Any:
+    def apply_configuration(self, text: str, expected_text_version: int) -> t.Any:
         """Apply an operators' text; returns the future of its version."""
-        return self.ask(ApplyConfiguration, text, expected_text_version)
+        return self.send_request(ApplyConfiguration, text, expected_text_version)
 
-    def grant(self, team: str) -> t.Any:
+    def create_key(self, team: str) -> t.Any:
         """Grant a key; returns the future of the key."""
-        return self.ask(CreateKey, team)
+        return self.send_request(CreateKey, team)
 
-    def withdraw(self, key_id: str) -> t.Any:
+    def revoke_key(self, key_id: str) -> t.Any:
         """Withdraw a key; returns the future of the result."""
-        return self.ask(RevokeKey, key_id)
+        return self.send_request(RevokeKey, key_id)
 
-    def usable(self, team: str) -> int:
+    def count_usable_units(self, team: str) -> int:
         """Return the units of a team on which requests may start now."""
         return self.ledger.usable_units(team, self.clock.now_ms())
 
-    def is_fresh(self) -> bool:
+    def has_fresh_keys(self) -> bool:
         """Tell whether authenticated requests are accepted now."""
         bound_ms = self.settings.key_freshness_ms
         return self.freshness.is_fresh(self.clock.now_ms(), bound_ms)
@@ -175,9 +175,9 @@
             SharingEntry(self, number, zone, "a") for number, zone in enumerate(zones)
         ]
         #: Processes that were killed; their tasks may still run.
-        self.dead: list[SharingEntry] = []
+        self.killed: list[SharingEntry] = []
 
-    def replace(
+    def replace_entry(
         self, index: int, start: str, number: int | None = None
     ) -> SharingEntry:
         """Kill an entry and start a new process.
@@ -187,7 +187,7 @@
         :param number: another instance to run on; by default the same address.
         """
         old = self.entries[index]
-        self.dead.append(old)
+        self.killed.append(old)
         number = index if number is None else number
         self.entries[index] = SharingEntry(self, number, old.settings.zone, start)
         return self.entries[index]
@@ -205,7 +205,7 @@
         for _ in range(duration_ms // step_ms):
             for entry in self.entries:
                 entry.step()
-            alive = [e for e in self.entries if not e.paused and not e.cut_off]
+            alive = [e for e in self.entries if not e.paused and not e.isolated]
             for caller in alive:
                 for peer in alive:
                     if peer is not caller:
@@ -214,30 +214,34 @@
             check()
             self.clock.advance(step_ms)
 
-    def set_down(self, down: bool) -> None:
+    def set_store_unreachable(self, down: bool) -> None:
         """Take the store from all entries, or give it back."""
         for entry in self.entries:
-            entry.set_down(down)
+            entry.set_store_unreachable(down)
 
-    def rows(self, team: str) -> dict[str, tuple[int, int]]:
+    def read_units_by_holder(self, team: str) -> dict[str, tuple[int, int]]:
         """Return long and short units per holder, as stored."""
         stored = self.platform.get(f"limits/{team}")
         holders = json.loads(stored.value)["body"]["holders"] if stored else {}
         return {h: (r.get("long", 0), r.get("short", 0)) for h, r in holders.items()}
 
-    def held_total(self, team: str) -> int:
+    def count_held_units(self, team: str) -> int:
         """Return the sum of units over all holders, as stored."""
-        return sum(sum(units) for units in self.rows(team).values())
+        return sum(sum(units) for units in self.read_units_by_holder(team).values())
 
-    def usable_total(self, team: str) -> int:
+    def count_usable_units(self, team: str) -> int:
         """Return the sum of usable units over all entries."""
-        return sum(entry.usable(team) for entry in self.entries)
+        return sum(entry.count_usable_units(team) for entry in self.entries)
 
-    def running_total(self) -> int:
+    def count_running_tasks(self) -> int:
         """Return how many requests may still run on workers."""
         now_ms = self.clock.now_ms()
-        entries = self.entries + self.dead
-        return sum(end_ms > now_ms for e in entries for end_ms in e.tasks.values())
+        entries = self.entries + self.killed
+        return sum(
+            end_ms > now_ms
+            for e in entries
+            for end_ms in e.lease_ends_by_request.values()
+        )
 
 
 def exchange_once(caller: SharingEntry, peer: SharingEntry, delay_ms: int = 0) -> None:
--- a/src/cranberrywheel_load/units.py
+++ b/src/cranberrywheel_load/units.py
@@ -17,7 +17,7 @@
 
 from cranberrywheel.settings import QuotaSettings
 from cranberrywheel.version.configuration import Configuration, parse_configuration
-from cranberrywheel_load.entries import EntryGroup, SharingEntry
+from cranberrywheel_load.entry_group import EntryGroup, SharingEntry
 
 ENTRY_COUNT = 7
 #: The leases of entries that started at different times are renewed at different
@@ -64,14 +64,14 @@
         for entry in entries:
             self.group.entries.append(entry)
             self.group.run(START_SPREAD_MS, 1_000)
-        entries[0].apply(text, 0).result(0)
+        entries[0].apply_configuration(text, 0).result(0)
         self.group.run(SETTLE_MS, 1_000)
 
     def percent(self, entries: collections.abc.Iterable[SharingEntry]) -> UnitsByTeam:
         """Return the usable units of some entries in percent of the limits."""
         chosen = list(entries)
         return {
-            name: 100 * sum(e.usable(name) for e in chosen) / team.limit
+            name: 100 * sum(e.count_usable_units(name) for e in chosen) / team.limit
             for name, team in self.configuration.teams_by_name.items()
         }
 
@@ -97,7 +97,7 @@
     for phase_ms in OUTAGE_PHASES_MS:
         trial = _Trial(text, limits)
         trial.group.run(phase_ms, 1_000)
-        trial.group.set_down(True)
+        trial.group.set_store_unreachable(True)
         trial.group.clock.advance(duration_ms)
         samples.append(trial.percent(trial.group.entries))
     return [("lowest", _combine(samples, min)), ("mean", _combine(samples, _mean))]
@@ -120,8 +120,8 @@
         ("others before", trial.percent(outside)),
     ]
     for entry in inside:
-        entry.cut_off = True
-        entry.set_down(True)
+        entry.isolated = True
+        entry.set_store_unreachable(True)
     trial.group.run(PARTITION_MS, 1_000)
     rows.append(("zone", trial.percent(inside)))
     rows.append(("others", trial.percent(outside)))
@@ -142,7 +142,7 @@
     for number in range(2 * HOUR_MS // REPLACE_INTERVAL_MS):
         index = number % ENTRY_COUNT
         instance = None if same_address else ENTRY_COUNT + number
-        group.replace(index, f"r{number}", instance)
+        group.replace_entry(index, f"r{number}", instance)
         measured = number >= HOUR_MS // REPLACE_INTERVAL_MS
         group.run(
             REPLACE_INTERVAL_MS,
--- a/tests/entry_group_fixtures.py
+++ b/tests/entry_group_fixtures.py
@@ -3,7 +3,7 @@
 from test_configuration import SMALL
 
 from cranberrywheel.settings import QuotaSettings
-from cranberrywheel_load.entries import EntryGroup
+from cranberrywheel_load.entry_group import EntryGroup
 
 TEXT = SMALL.replace("limit = 4", "limit = 12")
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -18,13 +18,13 @@
     PeerLost,
     PeerReport,
 )
-from cranberrywheel_load.entries import exchange_once
+from cranberrywheel_load.entry_group import exchange_once
 
 
 class ExchangeTest(testtools.TestCase):
     def group(self, count=3):
         group = build_entry_group(count)
-        group.entries[0].apply(TEXT, 0).result(0)
+        group.entries[0].apply_configuration(TEXT, 0).result(0)
         group.run(5_000)
         return group, group.entries
 
@@ -35,13 +35,13 @@
         group, entries = self.group()
         reads = []
         for entry in entries:
-            entry.cut_off = cut_off
+            entry.isolated = cut_off
             client = entry.clients[1]
             get = client.get
             client.get = lambda *args, get=get: reads.append(args) or get(*args)
         for _ in range(120):
             group.run(500)
-            self.assertTrue(all(e.is_fresh() for e in entries))
+            self.assertTrue(all(e.has_fresh_keys() for e in entries))
         return len(reads)
 
     def test_store_reads_are_shared(self):
@@ -51,7 +51,7 @@
     def test_proof_of_a_peer_ages_by_the_whole_exchange(self):
         """A slow answer must not make an old freshness proof look recent."""
         group, (a, b, _) = self.group()
-        group.set_down(True)
+        group.set_store_unreachable(True)
         group.clock.advance(60_000)
         b.exchange.record_store_read(group.clock.now_ms() - 1_000)
         exchange_once(a, b, delay_ms=3_500)
@@ -85,12 +85,12 @@
         """Such an entry may know a revocation that no other entry knows."""
         group = build_entry_group(3)
         a, b, c = group.entries
-        c.cut_off = True
-        a.apply(TEXT, 0).result(0)
+        c.isolated = True
+        a.apply_configuration(TEXT, 0).result(0)
         group.run(5_000)
-        group.set_down(True)
+        group.set_store_unreachable(True)
         group.run(6_000)
-        self.assertEqual([False, False], [a.is_fresh(), b.is_fresh()])
+        self.assertEqual([False, False], [a.has_fresh_keys(), b.has_fresh_keys()])
 
     def test_ages_in_unsolicited_messages_do_not_count(self):
         """A message may have waited in a paused receiver for any length of time."""
@@ -98,45 +98,45 @@
         state = b.exchange.build_state()
         group.clock.advance(60_000)
         a.exchange.merge_state(state, None)
-        self.assertFalse(a.is_fresh())
+        self.assertFalse(a.has_fresh_keys())
 
     def test_store_down_for_all_entries(self):
         """Keys must stay fresh without the store while all entries reach each other."""
         group, entries = self.group()
-        group.set_down(True)
+        group.set_store_unreachable(True)
         for _ in range(300):
             group.run(500)
-            self.assertTrue(all(e.is_fresh() for e in entries))
+            self.assertTrue(all(e.has_fresh_keys() for e in entries))
 
     def test_silent_entry_ends_freshness_without_the_store(self):
         """An entry that sends no reports may have accepted a revocation."""
         group, (a, b, c) = self.group()
-        group.set_down(True)
-        c.cut_off = True
+        group.set_store_unreachable(True)
+        c.isolated = True
         group.run(4_000)
-        self.assertEqual([True, True], [a.is_fresh(), b.is_fresh()])
+        self.assertEqual([True, True], [a.has_fresh_keys(), b.has_fresh_keys()])
         group.run(2_000)
-        fresh = [a.is_fresh(), b.is_fresh(), c.is_fresh()]
+        fresh = [a.has_fresh_keys(), b.has_fresh_keys(), c.has_fresh_keys()]
         self.assertEqual([False, False, False], fresh)
 
     def test_age_of_a_message_is_relayed(self):
         """Entries that cannot reach each other must stay fresh through a third one."""
         group, (a, b, c) = self.group()
-        group.set_down(True)
+        group.set_store_unreachable(True)
         for _ in range(40):
             for caller, peer in ((c, b), (b, c), (b, a), (a, b)):
                 exchange_once(caller, peer)
             group.clock.advance(500)
-        self.assertTrue(a.is_fresh() and c.is_fresh())
+        self.assertTrue(a.has_fresh_keys() and c.has_fresh_keys())
 
     def test_revocation_during_an_outage_reaches_all_entries(self):
         """A tombstone must reach relayed entries before their proof is renewed."""
         group, (a, b, c) = self.group()
-        key_id = a.grant("t").result(0).partition(".")[0]
+        key_id = a.create_key("t").result(0).partition(".")[0]
         group.run(3_000)
-        group.set_down(True)
+        group.set_store_unreachable(True)
         group.run(2_000)
-        answer = a.withdraw(key_id)
+        answer = a.revoke_key(key_id)
         self.assertFalse(answer.done())
         exchange_once(c, b)
         self.assertEqual([], self.received(c, KeyRevoked))
@@ -148,7 +148,7 @@
         result = answer.result(0)
         self.assertFalse(result["stored"])
         self.assertEqual({e.process_id for e in (a, b, c)}, set(result["confirmed"]))
-        group.set_down(False)
+        group.set_store_unreachable(False)
         group.run(6_000)
         self.assertIn(key_id, c.exchange.holder.snapshot.revoked_key_ids)
         self.assertEqual(set(), b.exchange.list_unwritten_tombstones())
@@ -156,7 +156,7 @@
     def test_older_proof_does_not_hide_a_newer_version(self):
         """A proof covers the version of its sender and is invalid without it."""
         group, (a, b, _) = self.group()
-        group.set_down(True)
+        group.set_store_unreachable(True)
         group.clock.advance(60_000)
         record = b.exchange.holder.record
         newer = ConfigurationRecord(version=99, record_json=record.value)
@@ -164,24 +164,24 @@
         b.exchange.record_store_read(group.clock.now_ms())
         state = b.exchange.build_state()
         self.assertFalse(a.exchange.merge_state(state, group.clock.now_ms()))
-        self.assertFalse(a.is_fresh())
+        self.assertFalse(a.has_fresh_keys())
         a.exchange.adopt_fetched(b.exchange.get_newer_record(a.exchange.holder.version))
         self.assertTrue(a.exchange.merge_state(state, group.clock.now_ms()))
-        self.assertTrue(a.is_fresh())
+        self.assertTrue(a.has_fresh_keys())
 
     def test_start_during_an_outage(self):
         """A replacement must get the configuration from peers without the store."""
         group, entries = self.group()
-        key_id = entries[0].grant("t").result(0).partition(".")[0]
+        key_id = entries[0].create_key("t").result(0).partition(".")[0]
         group.run(5_000)
         version = entries[0].versions[-1]
-        group.set_down(True)
-        new = group.replace(2, "b")
-        new.set_down(True)
+        group.set_store_unreachable(True)
+        new = group.replace_entry(2, "b")
+        new.set_store_unreachable(True)
         group.run(6_000)
         self.assertEqual([version], new.versions)
-        self.assertTrue(all(e.is_fresh() for e in entries[:2]))
-        refused = new.withdraw(key_id)
+        self.assertTrue(all(e.has_fresh_keys() for e in entries[:2]))
+        refused = new.revoke_key(key_id)
         self.assertEqual("store-unavailable", refused.exception(0).kind)
 
     def test_load_is_reported_and_unresponsive_peer_is_dropped(self):
@@ -245,7 +245,7 @@
     def test_new_instance_does_not_count_as_removed(self):
         """An outdated list lacks new instances; only a listed one can be removed."""
         group = build_entry_group(3)
-        group.entries[0].apply(TEXT, 0).result(0)
+        group.entries[0].apply_configuration(TEXT, 0).result(0)
         for entry in group.entries[:2]:
             group.platform.set_instance(entry.settings.instance, {"kind": "entry"})
         group.run(5_000)
