--- a/src/cranberrywheel/programs/operator.py
+++ b/src/cranberrywheel/programs/operator.py
@@ -200,7 +200,11 @@
             )
         lines = [*_format_statuses(statuses), *self._describe_wave()]
         self.print_result(statuses, lines)
-        return EXIT_REFUSED if any("error" in s for s in statuses.values()) else 0
+        return (
+            EXIT_REFUSED
+            if any("error" in status for status in statuses.values())
+            else 0
+        )
 
     def _describe_wave(self) -> list[str]:
         """Describe the current wave of moves and maintenance.
--- a/src/cranberrywheel_standin/direct_client.py
+++ b/src/cranberrywheel_standin/direct_client.py
@@ -51,7 +51,7 @@
     def list(self, prefix: str) -> list[Record]:
         self.raise_if_down()
         rows = self.platform.list(prefix)
-        return [Record(r["key"], r["value"], r["revision"]) for r in rows]
+        return [Record(row["key"], row["value"], row["revision"]) for row in rows]
 
     def put(self, key: str, value: str, expected_revision: int, lease: str = "") -> int:
         self.raise_if_down()
@@ -93,13 +93,13 @@
     def instances(self) -> InstanceList:
         self.raise_if_down()
         listed = self.platform.instance_list()
-        names = {field.name for field in dataclasses.fields(Instance)}
+        field_names = {field.name for field in dataclasses.fields(Instance)}
         rows = tuple(
             Instance(
-                instance_id=r["id"],
-                leaving=r["state"] == "leaving",
-                **{k: v for k, v in r.items() if k in names},
+                instance_id=row["id"],
+                leaving=row["state"] == "leaving",
+                **{name: value for name, value in row.items() if name in field_names},
             )
-            for r in listed["instances"]
+            for row in listed["instances"]
         )
         return InstanceList(listed["revision"], listed["age_ms"], rows)
--- a/src/cranberrywheel_standin/main.py
+++ b/src/cranberrywheel_standin/main.py
@@ -130,13 +130,13 @@
         option("history", None, "History file for task events.", flag=False),
         *(
             option(
-                f.name.replace("_", "-"),
+                field.name.replace("_", "-"),
                 None,
                 "Field of a single worker; see --config.",
                 False,
             )
-            for f in dataclasses.fields(WorkerConfig)
-            if f.name not in ("name", "addresses")
+            for field in dataclasses.fields(WorkerConfig)
+            if field.name not in ("name", "addresses")
         ),
         option("name", None, "Name of a single worker.", flag=False),
     ]
--- a/src/cranberrywheel_standin/platform.py
+++ b/src/cranberrywheel_standin/platform.py
@@ -78,7 +78,7 @@
         with self.changed:
             self.count_by_call[call] = self.count_by_call.get(call, 0) + 1
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         now_s = self._now_s()
         expired_leases = {
             lease
@@ -100,7 +100,7 @@
     def get(self, key: str) -> StoredEntry | None:
         """Read one value."""
         with self.changed:
-            self._expire()
+            self._expire_leases()
             return self.entries_by_key.get(key)
 
     def watch(
@@ -114,7 +114,7 @@
         end_s = self._now_s() + wait_ms / 1000
         with self.changed:
             while True:
-                self._expire()
+                self._expire_leases()
                 entry = self.entries_by_key.get(key)
                 if entry is None and newer_than == 0 and wait_ms == 0:
                     return None
@@ -134,7 +134,7 @@
     def list_revision(self, prefix: str) -> int:
         """Return the revision of the last change or deletion under a prefix."""
         with self.changed:
-            self._expire()
+            self._expire_leases()
             return max(
                 (
                     revision
@@ -147,7 +147,7 @@
     def list(self, prefix: str) -> list[dict[str, t.Any]]:
         """Read all values under a prefix."""
         with self.changed:
-            self._expire()
+            self._expire_leases()
             return [
                 {"key": key, "value": entry.value, "revision": entry.revision}
                 for key, entry in sorted(self.entries_by_key.items())
@@ -167,7 +167,7 @@
         if len(value.encode()) > MAX_VALUE_BYTES:
             return 413, {}
         with self.changed:
-            self._expire()
+            self._expire_leases()
             if lease and lease not in self._lease_times_by_id:
                 return 404, {}
             entry = self.entries_by_key.get(key)
@@ -186,7 +186,7 @@
         :returns: HTTP status and body: 412 with another revision.
         """
         with self.changed:
-            self._expire()
+            self._expire_leases()
             entry = self.entries_by_key.get(key)
             revision = entry.revision if entry else 0
             if revision != expected:
@@ -207,7 +207,7 @@
     def renew_lease(self, lease: str) -> bool:
         """Renew a lease; returns false if it has expired."""
         with self.changed:
-            self._expire()
+            self._expire_leases()
             if lease not in self._lease_times_by_id:
                 return False
             ttl_ms = self._lease_times_by_id[lease][1]
@@ -318,27 +318,39 @@
         self._send_worker_action = send_worker_action
         self._routes = Map(
             [
-                Rule("/v1/kv", endpoint=self._list, methods=["GET"]),
-                Rule("/v1/kv/<path:key>", endpoint=self._get, methods=["GET"]),
-                Rule("/v1/kv/<path:key>", endpoint=self._put, methods=["PUT"]),
-                Rule("/v1/kv/<path:key>", endpoint=self._delete, methods=["DELETE"]),
-                Rule("/v1/leases", endpoint=self._grant, methods=["POST"]),
+                Rule("/v1/kv", endpoint=self._list_values, methods=["GET"]),
+                Rule("/v1/kv/<path:key>", endpoint=self._get_value, methods=["GET"]),
+                Rule("/v1/kv/<path:key>", endpoint=self._put_value, methods=["PUT"]),
+                Rule(
+                    "/v1/kv/<path:key>", endpoint=self._delete_value, methods=["DELETE"]
+                ),
+                Rule("/v1/leases", endpoint=self._grant_lease, methods=["POST"]),
                 Rule(
                     "/v1/leases/<lease>/renewal",
-                    endpoint=self._renew,
+                    endpoint=self._renew_lease,
                     methods=["POST"],
                 ),
-                Rule("/v1/leases/<lease>", endpoint=self._revoke, methods=["DELETE"]),
-                Rule("/v1/instances", endpoint=self._instances, methods=["GET"]),
-                Rule("/v1/instances/<name>", endpoint=self._set, methods=["PUT"]),
-                Rule("/v1/instances/<name>", endpoint=self._remove, methods=["DELETE"]),
+                Rule(
+                    "/v1/leases/<lease>",
+                    endpoint=self._revoke_lease,
+                    methods=["DELETE"],
+                ),
+                Rule("/v1/instances", endpoint=self._list_instances, methods=["GET"]),
+                Rule(
+                    "/v1/instances/<name>", endpoint=self._set_instance, methods=["PUT"]
+                ),
+                Rule(
+                    "/v1/instances/<name>",
+                    endpoint=self._remove_instance,
+                    methods=["DELETE"],
+                ),
                 Rule(
                     "/v1/instances/<name>/<any(drain,undrain,reboot):action>",
-                    endpoint=self._control,
+                    endpoint=self._control_instance,
                     methods=["POST"],
                 ),
-                Rule("/v1/faults", endpoint=self._faults, methods=["PUT"]),
-                Rule("/v1/counters", endpoint=self._counters, methods=["GET"]),
+                Rule("/v1/faults", endpoint=self._set_faults, methods=["PUT"]),
+                Rule("/v1/counters", endpoint=self._get_counters, methods=["GET"]),
             ]
         )
 
@@ -347,15 +359,20 @@
         request = werkzeug.Request(environ)
         try:
             endpoint, values = self._routes.bind_to_environ(environ).match()
-            response = self._answer(request, endpoint, values)
+            response = self._answer_request(request, endpoint, values)
         except HTTPException as error:
             response = error.get_response(environ)
         return response(environ, start_response)
 
-    def _answer(
+    def _answer_request(
         self, request: werkzeug.Request, endpoint: t.Any, values: t.Any
     ) -> t.Any:
-        if endpoint not in (self._faults, self._counters, self._set, self._remove):
+        if endpoint not in (
+            self._set_faults,
+            self._get_counters,
+            self._set_instance,
+            self._remove_instance,
+        ):
             self.platform.count_call(f"{request.method} {request.path.split('/')[2]}")
             faults = self.platform.faults
             if faults.slow_ms:
@@ -385,7 +402,7 @@
             {"value": entry.value, "revision": entry.revision}
         )
 
-    def _get(self, request: werkzeug.Request, key: str) -> werkzeug.Response:
+    def _get_value(self, request: werkzeug.Request, key: str) -> werkzeug.Response:
         newer_than = request.args.get("newer_than", 0, type=int)
         wait_ms = request.args.get("wait_ms", 0, type=int)
         if newer_than or wait_ms:
@@ -394,7 +411,7 @@
             )
         return self._build_entry_response(self.platform.get(key))
 
-    def _list(self, request: werkzeug.Request) -> werkzeug.Response:
+    def _list_values(self, request: werkzeug.Request) -> werkzeug.Response:
         prefix = request.args.get("prefix", "")
         revision = self.platform.list_revision(prefix)
         if revision and revision <= request.args.get("newer_than", 0, type=int):
@@ -404,33 +421,33 @@
         items = self.platform.list(prefix)
         return self._build_json_response({"items": items, "revision": revision})
 
-    def _put(self, request: werkzeug.Request, key: str) -> werkzeug.Response:
+    def _put_value(self, request: werkzeug.Request, key: str) -> werkzeug.Response:
         body = request.get_json()
         status, answer = self.platform.put(
             key, body["value"], body["expected_revision"], body.get("lease", "")
         )
         return self._build_json_response(answer, status)
 
-    def _delete(self, request: werkzeug.Request, key: str) -> werkzeug.Response:
+    def _delete_value(self, request: werkzeug.Request, key: str) -> werkzeug.Response:
         expected = request.args.get("expected_revision", 0, type=int)
         status, answer = self.platform.delete(key, expected)
         return self._build_json_response(answer, status)
 
-    def _grant(self, request: werkzeug.Request) -> werkzeug.Response:
+    def _grant_lease(self, request: werkzeug.Request) -> werkzeug.Response:
         return self._build_json_response(
             {"lease": self.platform.grant_lease(request.json["ttl_ms"])}
         )
 
-    def _renew(self, request: werkzeug.Request, lease: str) -> werkzeug.Response:
+    def _renew_lease(self, request: werkzeug.Request, lease: str) -> werkzeug.Response:
         return self._build_json_response(
             {}, 200 if self.platform.renew_lease(lease) else 404
         )
 
-    def _revoke(self, request: werkzeug.Request, lease: str) -> werkzeug.Response:
+    def _revoke_lease(self, request: werkzeug.Request, lease: str) -> werkzeug.Response:
         self.platform.revoke_lease(lease)
         return self._build_json_response({})
 
-    def _instances(self, request: werkzeug.Request) -> werkzeug.Response:
+    def _list_instances(self, request: werkzeug.Request) -> werkzeug.Response:
         instance_list = self.platform.instance_list()
         newer_than = request.args.get("newer_than", 0, type=int)
         if instance_list["revision"] and instance_list["revision"] == newer_than:
@@ -444,15 +461,17 @@
             row["address"] = zone_address or row["address"]
         return self._build_json_response(instance_list)
 
-    def _set(self, request: werkzeug.Request, name: str) -> werkzeug.Response:
+    def _set_instance(self, request: werkzeug.Request, name: str) -> werkzeug.Response:
         self.platform.set_instance(name, request.json)
         return self._build_json_response({})
 
-    def _remove(self, request: werkzeug.Request, name: str) -> werkzeug.Response:
+    def _remove_instance(
+        self, request: werkzeug.Request, name: str
+    ) -> werkzeug.Response:
         self.platform.remove_instance(name)
         return self._build_json_response({})
 
-    def _control(
+    def _control_instance(
         self, request: werkzeug.Request, name: str, action: str
     ) -> werkzeug.Response:
         row = self.platform.instances_by_id.get(name)
@@ -463,11 +482,11 @@
         self._send_worker_action(row["address"], action)
         return self._build_json_response({})
 
-    def _faults(self, request: werkzeug.Request) -> werkzeug.Response:
+    def _set_faults(self, request: werkzeug.Request) -> werkzeug.Response:
         self.platform.faults = PlatformFaults(**request.json)
         with self.platform.changed:
             self.platform.changed.notify_all()
         return self._build_json_response({})
 
-    def _counters(self, request: werkzeug.Request) -> werkzeug.Response:
+    def _get_counters(self, request: werkzeug.Request) -> werkzeug.Response:
         return self._build_json_response(self.platform.count_by_call)
--- a/src/cranberrywheel_standin/virtual_fleet.py
+++ b/src/cranberrywheel_standin/virtual_fleet.py
@@ -105,7 +105,7 @@
         self.revision += 1
         self._set_item(key, None)
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         now_ms = self._clock.now_ms()
         for lease in [
             lease
@@ -116,7 +116,7 @@
 
     def read(self, key: str) -> StoreReply:
         """Read one key."""
-        self._expire()
+        self._expire_leases()
         item = self.item_by_key.get(key)
         if item is None:
             return StoreReply(Outcome.ABSENT, revision=self.revision)
@@ -124,7 +124,7 @@
 
     def read_all(self, prefix: str) -> StoreReply:
         """Read all keys under a prefix."""
-        self._expire()
+        self._expire_leases()
         items = [
             item
             for key, item in sorted(self.item_by_key.items())
@@ -134,7 +134,7 @@
 
     def events(self, prefix: str, after: int) -> StoreReply:
         """Return the changes under a prefix after a revision."""
-        self._expire()
+        self._expire_leases()
         events = [
             item
             for item in reversed(self._history)
@@ -148,15 +148,16 @@
         :returns: ``CONFLICT`` with the current items if a condition does not hold,
             ``ABSENT`` if a lease has expired, otherwise ``OK``.
         """
-        self._expire()
+        self._expire_leases()
         self.writes += 1
-        current = [
+        current_items = [
             self.item_by_key.get(key, Item(key, None, 0)) for key, _ in write.conditions
         ]
-        for (_, revision), item in zip(write.conditions, current, strict=True):
+        for (_, revision), item in zip(write.conditions, current_items, strict=True):
             if item.revision != revision:
                 return StoreReply(
-                    Outcome.CONFLICT, tuple(item for item in current if item.revision)
+                    Outcome.CONFLICT,
+                    tuple(item for item in current_items if item.revision),
                 )
         if any(
             lease and lease not in self._lease_times_by_id for _, _, lease in write.puts
@@ -180,7 +181,7 @@
 
     def renew_lease(self, lease: int) -> StoreReply:
         """Renew a lease; returns ``ABSENT`` if it has expired."""
-        self._expire()
+        self._expire_leases()
         if lease not in self._lease_times_by_id:
             return StoreReply(Outcome.ABSENT)
         ttl_ms = self._lease_times_by_id[lease][1]
@@ -288,7 +289,7 @@
 class VirtualRun:
     """One run of a task on an executor.
 
-    :param end_ms: when the run ends unless it is stopped or its lease expires.
+    :param end_ms: time at which the run ends unless its lease expires before.
     """
 
     task: str
@@ -345,17 +346,17 @@
             lease_expiry_ms = self.deadline_ms + self.boot
             if run.end_ms <= min(now_ms, lease_expiry_ms):
                 if run.stopping:
-                    self._end(run, RunOutcome.STOPPED)
+                    self._end_run(run, RunOutcome.STOPPED)
                 else:
-                    self._end(
+                    self._end_run(
                         run,
                         RunOutcome.FAILED if self.fails_all_runs else RunOutcome.DONE,
                     )
         if now_ms > self.deadline_ms + self.boot:
             for run in list(self.runs.values()):
-                self._end(run, RunOutcome.EXPIRED)
+                self._end_run(run, RunOutcome.EXPIRED)
 
-    def _end(self, run: VirtualRun, outcome: RunOutcome) -> None:
+    def _end_run(self, run: VirtualRun, outcome: RunOutcome) -> None:
         del self.runs[run.task, run.number]
         self.sequence += 1
         self.completions.append(
@@ -535,7 +536,7 @@
     def set_task_profile(
         self, submission_id: str, cpu: int, duration_ms: int, long_running: bool = False
     ) -> None:
-        """Set what the tasks of a submission really use and how long they take.
+        """Set the real cpu use and duration of the tasks of a submission.
 
         :param cpu: cpu per task, in thousandths of a core.
         :param long_running: the tasks run until they are stopped.
--- a/src/cranberrywheel_standin/worker.py
+++ b/src/cranberrywheel_standin/worker.py
@@ -244,10 +244,10 @@
             self._share_slots()
             self._record("task_start", config.name, task)
             if self.faults.fail:
-                self._end(task, "failed", "fault")
+                self._end_task(task, "failed", "fault")
             return task
 
-    def _end(self, task: Task, state: str, reason: str) -> None:
+    def _end_task(self, task: Task, state: str, reason: str) -> None:
         task.state, task.reason = state, reason
         task.updated_ms = self._now_ms()
         self._running_by_id.pop(task.order.task_id, None)
@@ -264,13 +264,13 @@
             task.remaining_ms -= (now_ms - task.updated_ms) * task.speed
             task.updated_ms = now_ms
             if task.stop_at_ms is not None and task.stop_at_ms <= now_ms:
-                self._end(task, "stopped", task.reason)
+                self._end_task(task, "stopped", task.reason)
             elif task.remaining_ms <= 0:
-                self._end(task, "finished", "")
+                self._end_task(task, "finished", "")
             elif task.lease_end_ms <= now_ms:
-                self._end(task, "stopped", "lease-expired")
+                self._end_task(task, "stopped", "lease-expired")
             elif task.deadline_end_ms is not None and task.deadline_end_ms <= now_ms:
-                self._end(task, "stopped", "deadline")
+                self._end_task(task, "stopped", "deadline")
 
     def wait_until_ended(self, task: Task) -> None:
         """Block until a task has ended."""
@@ -332,7 +332,7 @@
             if task.state != "running":
                 return False
             self._checkpoints[task.order.task_id] = task.remaining_ms
-            self._end(task, "stopped", "checkpointed")
+            self._end_task(task, "stopped", "checkpointed")
             return True
 
     def throttle(self, task: Task) -> None:
@@ -374,7 +374,7 @@
                 self.draining = action == "drain"
                 return
             for task in list(self._running_by_id.values()):
-                self._end(task, "stopped", "reboot")
+                self._end_task(task, "stopped", "reboot")
             self._ended_by_id.clear()
             self._boot_id = secrets.token_hex(4)
             self._up_at_ms = self._now_ms() + self.config.reboot_ms
--- a/src/cranberrywheel_standin/worker_app.py
+++ b/src/cranberrywheel_standin/worker_app.py
@@ -81,13 +81,15 @@
         self.worker = worker
         self._routes = Map(
             [
-                Rule("/v1/start-token", endpoint=self._token, methods=["GET"]),
-                Rule("/v1/tasks", endpoint=self._list, methods=["GET"]),
-                Rule("/v1/tasks/<task_id>", endpoint=self._run, methods=["PUT"]),
-                Rule("/v1/tasks/<task_id>", endpoint=self._get, methods=["GET"]),
+                Rule(
+                    "/v1/start-token", endpoint=self._get_start_token, methods=["GET"]
+                ),
+                Rule("/v1/tasks", endpoint=self._list_tasks, methods=["GET"]),
+                Rule("/v1/tasks/<task_id>", endpoint=self._run_task, methods=["PUT"]),
+                Rule("/v1/tasks/<task_id>", endpoint=self._get_task, methods=["GET"]),
                 Rule(
                     "/v1/tasks/<task_id>/result",
-                    endpoint=self._result,
+                    endpoint=self._get_result,
                     methods=["GET"],
                 ),
                 Rule(
@@ -95,13 +97,13 @@
                     endpoint=self._control_task,
                     methods=["POST"],
                 ),
-                Rule("/v1/usage", endpoint=self._usage, methods=["GET"]),
+                Rule("/v1/usage", endpoint=self._get_usage, methods=["GET"]),
                 Rule(
                     "/v1/control/<any(drain,undrain,reboot):action>",
-                    endpoint=self._control,
+                    endpoint=self._apply_control,
                     methods=["POST"],
                 ),
-                Rule("/v1/faults", endpoint=self._faults, methods=["PUT"]),
+                Rule("/v1/faults", endpoint=self._set_faults, methods=["PUT"]),
             ]
         )
 
@@ -109,7 +111,7 @@
         request = werkzeug.Request(environ)
         try:
             endpoint, values = self._routes.bind_to_environ(environ).match()
-            if endpoint not in (self._faults, self._control):
+            if endpoint not in (self._set_faults, self._apply_control):
                 while self.worker.faults.freeze:
                     time.sleep(FREEZE_POLL_INTERVAL_S)
                 if not self.worker.is_up():
@@ -134,11 +136,11 @@
             "Slots_Free": str(self.worker.count_free_slots()),
         }
 
-    def _token(self, request: werkzeug.Request) -> werkzeug.Response:
+    def _get_start_token(self, request: werkzeug.Request) -> werkzeug.Response:
         token = self.worker.issue_start_token()
         return _build_json_response({"token": token, "lifetime_ms": TOKEN_LIFETIME_MS})
 
-    def _run(self, request: werkzeug.Request, task_id: str) -> werkzeug.Response:
+    def _run_task(self, request: werkzeug.Request, task_id: str) -> werkzeug.Response:
         order = parse_start_order(request, task_id, self.worker.config.run_ms)
         task = self.worker.start(order)
         self.worker.wait_until_ended(task)
@@ -204,21 +206,21 @@
             "queue": task.order.queue,
         }
 
-    def _list(self, request: werkzeug.Request) -> werkzeug.Response:
+    def _list_tasks(self, request: werkzeug.Request) -> werkzeug.Response:
         rows = [self._describe_task(task) for task in self.worker.list_running()]
         return _build_json_response({"tasks": rows, "draining": self.worker.draining})
 
-    def _find(self, task_id: str) -> Task:
+    def _find_task(self, task_id: str) -> Task:
         task = self.worker.find_task(task_id)
         if task is None:
             raise NotFound()
         return task
 
-    def _get(self, request: werkzeug.Request, task_id: str) -> werkzeug.Response:
-        return _build_json_response(self._describe_task(self._find(task_id)))
+    def _get_task(self, request: werkzeug.Request, task_id: str) -> werkzeug.Response:
+        return _build_json_response(self._describe_task(self._find_task(task_id)))
 
-    def _result(self, request: werkzeug.Request, task_id: str) -> werkzeug.Response:
-        task = self._find(task_id)
+    def _get_result(self, request: werkzeug.Request, task_id: str) -> werkzeug.Response:
+        task = self._find_task(task_id)
         if task.state == "running":
             return _build_json_response({"kind": "running"}, 409)
         return self._build_task_answer(request, task)
@@ -226,7 +228,7 @@
     def _control_task(
         self, request: werkzeug.Request, task_id: str, action: str
     ) -> werkzeug.Response:
-        task = self._find(task_id)
+        task = self._find_task(task_id)
         if action == "lease":
             lease_ms = int(request.headers.get("Task-Lease-Ms", 10_000))
             token = request.headers.get("Start-Token", "")
@@ -242,16 +244,18 @@
             self._describe_task(task), **self._build_state_headers()
         )
 
-    def _usage(self, request: werkzeug.Request) -> werkzeug.Response:
+    def _get_usage(self, request: werkzeug.Request) -> werkzeug.Response:
         lag_ms = self.worker.config.usage_lag_ms
         return _build_json_response(
             {"age_ms": lag_ms, "tasks": self.worker.list_usage()}
         )
 
-    def _control(self, request: werkzeug.Request, action: str) -> werkzeug.Response:
+    def _apply_control(
+        self, request: werkzeug.Request, action: str
+    ) -> werkzeug.Response:
         self.worker.apply_control(action)
         return _build_json_response({"draining": self.worker.draining})
 
-    def _faults(self, request: werkzeug.Request) -> werkzeug.Response:
+    def _set_faults(self, request: werkzeug.Request) -> werkzeug.Response:
         self.worker.faults = WorkerFaults(**request.get_json())
         return _build_json_response(dataclasses.asdict(self.worker.faults))
