--- a/src/cranberrywheel_load/entry_group.py
+++ b/src/cranberrywheel_load/entry_group.py
@@ -1,4 +1,7 @@
-"""The sharing side of a few entries on one manual clock, without a network."""
+"""Quota, key and configuration state of several entries, without a network.
+
+All entries share one in-memory store and one manual clock; no threads or sockets run.
+"""
 
 import concurrent.futures
 import json
@@ -26,14 +29,16 @@
 
 
 class SharingEntry:
-    """Store session, exchange and unit ledger of one entry.
+    """Store session, peer exchange and quota ledger of one entry.
 
-    Its dispatcher keeps the ledger and starts the requests in ``waiting_by_team``.
+    A minimal dispatcher updates the ledger from messages and starts the requests
+    counted in ``waiting_by_team``.
 
-    :param group: has the clock, the store and the hold times.
-    :param number: gives the instance its name and ports.
+    :param group: provides the clock, the store and the quota settings.
+    :param number: determines the instance's name and ports.
     :param zone: availability zone.
-    :param start: makes the process id differ from earlier ones of the instance.
+    :param start: last part of the process id; distinguishes successive processes of
+        the same instance.
     """
 
     def __init__(self, group: "EntryGroup", number: int, zone: str, start: str) -> None:
@@ -51,20 +56,21 @@
         )
         self.ledger = QuotaLedger(group.limits)
         self.freshness = FreshnessTracker()
-        #: Adopted configuration versions, and all messages to the dispatcher.
+        #: Adopted configuration versions, oldest first.
         self.versions: list[int] = []
+        #: All messages sent to the dispatcher, oldest first.
         self.messages: list[object] = []
-        #: End of the task lease per running request, as its worker sees it.
+        #: Time in ms at which the worker lets the task lease of a request expire.
         self.lease_ends_by_request: dict[str, int] = {}
         self.waiting_by_team: dict[str, int] = {}
         self._started = 0
-        #: A paused entry does nothing; one that is cut off reaches no peer.
+        #: A paused entry does no work; an isolated one exchanges with no peer.
         self.paused = self.isolated = False
         self.exchange = PeerExchange(
             self.settings, self.clock, f"{zone}.e{number}.{start}", self.dispatch
         )
         self.process_id = self.exchange.process_id
-        #: Clients of the session and of its reader.
+        #: Store clients in order of creation: the session's, then its reader's.
         self.clients: list[DirectStoreClient] = []
         self.session = StoreSession(
             self.settings, self.clock, self.dispatch, self.exchange, self._make_client
@@ -75,7 +81,7 @@
         return self.clients[-1]
 
     def dispatch(self, message: object) -> None:
-        """Handle one message as the dispatcher does."""
+        """Record a message and apply it as the real dispatcher does."""
         self.messages.append(message)
         match message:
             case QuotaUnitsHeld(team, long_units, short_units):
@@ -93,13 +99,13 @@
                 for name, team in snapshot.configuration.teams_by_name.items():
                     self.ledger.set_limit(name, team.limit)
 
-    def set_store_unreachable(self, down: bool) -> None:
-        """Cut the entry off from the store, or connect it again."""
+    def set_store_unreachable(self, unreachable: bool) -> None:
+        """Disconnect the entry from the store, or connect it again."""
         for client in self.clients:
-            client.down = down
+            client.down = unreachable
 
     def step(self) -> None:
-        """Do all work that is due now."""
+        """Run all work that is due now, unless the entry is paused."""
         if self.paused:
             return
         self._run_tasks()
@@ -128,43 +134,48 @@
                 self.lease_ends_by_request[request_id] = end_ms
 
     def finish_task(self, request_id: str) -> None:
-        """End a running request."""
+        """End a running request and free its quota unit."""
         del self.lease_ends_by_request[request_id]
         self.ledger.free_unit(request_id)
 
     def send_request(self, kind: t.Callable[..., object], *fields: t.Any) -> t.Any:
-        """Send an operator's request; its future is the last field."""
+        """Send an operator's request to the session.
+
+        :param kind: message class; its last field is the future of the result.
+        :param fields: values of the other fields.
+        :returns: the future.
+        """
         future: concurrent.futures.Future[t.Any] = concurrent.futures.Future()
         self.session.step(kind(*fields, future))
         return future
 
     def apply_configuration(self, text: str, expected_text_version: int) -> t.Any:
-        """Apply an operators' text; returns the future of its version."""
+        """Apply a configuration text; returns the future of its version."""
         return self.send_request(ApplyConfiguration, text, expected_text_version)
 
     def create_key(self, team: str) -> t.Any:
-        """Grant a key; returns the future of the key."""
+        """Create a key for a team; returns the future of the key."""
         return self.send_request(CreateKey, team)
 
     def revoke_key(self, key_id: str) -> t.Any:
-        """Withdraw a key; returns the future of the result."""
+        """Revoke a key; returns the future of the result."""
         return self.send_request(RevokeKey, key_id)
 
     def count_usable_units(self, team: str) -> int:
-        """Return the units of a team on which requests may start now."""
+        """Count the team's units with which this entry may start requests now."""
         return self.ledger.usable_units(team, self.clock.now_ms())
 
     def has_fresh_keys(self) -> bool:
-        """Tell whether authenticated requests are accepted now."""
-        bound_ms = self.settings.key_freshness_ms
-        return self.freshness.is_fresh(self.clock.now_ms(), bound_ms)
+        """Return whether the key list is fresh enough to accept requests now."""
+        max_age_ms = self.settings.key_freshness_ms
+        return self.freshness.is_fresh(self.clock.now_ms(), max_age_ms)
 
 
 class EntryGroup:
-    """Entries on one store and one manual clock.
+    """Entries that share one store and one manual clock.
 
-    :param zones: one entry per item.
-    :param limits: hold times.
+    :param zones: zone of each entry; one entry is created per item.
+    :param limits: quota settings, such as lease durations.
     """
 
     def __init__(self, zones: t.Sequence[str], limits: QuotaSettings) -> None:
@@ -174,17 +185,18 @@
         self.entries = [
             SharingEntry(self, number, zone, "a") for number, zone in enumerate(zones)
         ]
-        #: Processes that were killed; their tasks may still run.
+        #: Killed processes; workers run their tasks until the task leases expire.
         self.killed: list[SharingEntry] = []
 
     def replace_entry(
         self, index: int, start: str, number: int | None = None
     ) -> SharingEntry:
-        """Kill an entry and start a new process.
+        """Kill an entry's process and start a new one.
 
         :param index: position of the entry.
         :param start: last part of the new process id.
-        :param number: another instance to run on; by default the same address.
+        :param number: instance number for the new process; by default the same
+            instance and address.
         """
         old = self.entries[index]
         self.killed.append(old)
@@ -198,9 +210,11 @@
         step_ms: int = 500,
         check: t.Callable[[], None] = lambda: None,
     ) -> None:
-        """Let all entries work and exchange.
+        """Step all entries and exchange state between all reachable pairs.
 
-        :param check: called after each step.
+        :param duration_ms: total time; the clock advances by it.
+        :param step_ms: time between two steps.
+        :param check: called after each step, before the clock advances.
         """
         for _ in range(duration_ms // step_ms):
             for entry in self.entries:
@@ -214,27 +228,30 @@
             check()
             self.clock.advance(step_ms)
 
-    def set_store_unreachable(self, down: bool) -> None:
-        """Take the store from all entries, or give it back."""
+    def set_store_unreachable(self, unreachable: bool) -> None:
+        """Disconnect all entries from the store, or connect them again."""
         for entry in self.entries:
-            entry.set_store_unreachable(down)
+            entry.set_store_unreachable(unreachable)
 
     def read_units_by_holder(self, team: str) -> dict[str, tuple[int, int]]:
-        """Return long and short units per holder, as stored."""
+        """Return the stored (long-lease, short-lease) units of each holder."""
         stored = self.platform.get(f"limits/{team}")
         holders = json.loads(stored.value)["body"]["holders"] if stored else {}
-        return {h: (r.get("long", 0), r.get("short", 0)) for h, r in holders.items()}
+        return {
+            holder: (row.get("long", 0), row.get("short", 0))
+            for holder, row in holders.items()
+        }
 
     def count_held_units(self, team: str) -> int:
-        """Return the sum of units over all holders, as stored."""
+        """Return the sum of the stored units over all holders."""
         return sum(sum(units) for units in self.read_units_by_holder(team).values())
 
     def count_usable_units(self, team: str) -> int:
-        """Return the sum of usable units over all entries."""
+        """Return the sum of the usable units over all entries."""
         return sum(entry.count_usable_units(team) for entry in self.entries)
 
     def count_running_tasks(self) -> int:
-        """Return how many requests may still run on workers."""
+        """Count the requests that may still run, those of killed processes included."""
         now_ms = self.clock.now_ms()
         entries = self.entries + self.killed
         return sum(
@@ -245,7 +262,9 @@
 
 
 def exchange_once(caller: SharingEntry, peer: SharingEntry, delay_ms: int = 0) -> None:
-    """Let one entry call another.
+    """Exchange state between two entries, as one call by the first.
+
+    A configuration version that the caller does not know is fetched from the peer.
 
     :param delay_ms: time from the call to its answer.
     """
@@ -254,6 +273,6 @@
     state = peer.exchange.build_state()
     caller.clock.advance(delay_ms)
     if not caller.exchange.merge_state(state, sent_ms):
-        known = caller.exchange.holder.version
-        caller.exchange.adopt_fetched(peer.exchange.get_newer_record(known))
+        known_version = caller.exchange.holder.version
+        caller.exchange.adopt_fetched(peer.exchange.get_newer_record(known_version))
         caller.exchange.merge_state(state, sent_ms)
--- a/src/cranberrywheel_load/units.py
+++ b/src/cranberrywheel_load/units.py
@@ -1,6 +1,6 @@
-"""Measures how much of each team's limit stays usable through failures.
+"""Measures which part of each team's limit stays usable during failures.
 
-Entries run the real store session, exchange and unit ledger on a manual clock.
+Entries run the real store session, peer exchange and quota ledger on a manual clock.
 """
 
 import collections.abc
@@ -20,17 +20,18 @@
 from cranberrywheel_load.entry_group import EntryGroup, SharingEntry
 
 ENTRY_COUNT = 7
-#: The leases of entries that started at different times are renewed at different
-#: times; an outage meets each at another age.
-START_SPREAD_MS = 4_000
-SETTLE_MS = 60_000
-#: Times at which outages start, over the longest interval between two renewals
-#: except that of the single lease.
-OUTAGE_PHASES_MS = tuple(range(0, 50_000, 10_000))
+#: Delay between the starts of two entries. Their leases are then renewed at different
+#: times, so that an outage finds leases of different ages.
+ENTRY_START_INTERVAL_MS = 4_000
+STABILIZATION_MS = 60_000
+#: Delays before an outage starts. They span the longest interval between two lease
+#: renewals in any variant but the single lease.
+OUTAGE_DELAYS_MS = tuple(range(0, 50_000, 10_000))
 PARTITION_MS = 600_000
 REPLACE_INTERVAL_MS = 1_800_000
 HOUR_MS = 3_600_000
-LONG_STEP_MS = 5_000
+#: Step of the two-hour runs; the others step by 1 s.
+REPLACEMENT_STEP_MS = 5_000
 
 VARIANTS: dict[str, QuotaSettings] = {
     "long_fraction 0": QuotaSettings(long_fraction=0),
@@ -40,35 +41,42 @@
     "single lease, 10 min": QuotaSettings(long_fraction=0, short_hold_ms=600_000),
 }
 
-UnitsByTeam = dict[str, float]
+#: Usable units in percent of the limit, by team.
+PercentByTeam = dict[str, float]
 
 
 @dataclasses.dataclass(frozen=True)
-class Row:
-    """Usable part of each team's limit in one scenario, in percent."""
+class ScenarioResult:
+    """Usable part of each team's limit in one scenario, in percent.
+
+    :param scenario: failure and statistic, as printed.
+    :param variant: key of ``VARIANTS``.
+    """
 
     scenario: str
     variant: str
-    percent_by_team: UnitsByTeam
+    percent_by_team: PercentByTeam
 
 
-class _Trial:
-    """One group of entries that has settled on a configuration."""
+class _TrialRun:
+    """A group of entries that has applied a configuration and divided the units."""
 
     def __init__(self, text: str, limits: QuotaSettings) -> None:
         self.configuration: Configuration = parse_configuration(text)
         zones = list(self.configuration.regions_by_zone)
-        placed = [zones[number % len(zones)] for number in range(ENTRY_COUNT)]
-        self.group = EntryGroup(placed, limits)
+        entry_zones = [zones[number % len(zones)] for number in range(ENTRY_COUNT)]
+        self.group = EntryGroup(entry_zones, limits)
         entries, self.group.entries = self.group.entries, []
         for entry in entries:
             self.group.entries.append(entry)
-            self.group.run(START_SPREAD_MS, 1_000)
+            self.group.run(ENTRY_START_INTERVAL_MS, 1_000)
         entries[0].apply_configuration(text, 0).result(0)
-        self.group.run(SETTLE_MS, 1_000)
+        self.group.run(STABILIZATION_MS, 1_000)
 
-    def percent(self, entries: collections.abc.Iterable[SharingEntry]) -> UnitsByTeam:
-        """Return the usable units of some entries in percent of the limits."""
+    def compute_usable_percent(
+        self, entries: collections.abc.Iterable[SharingEntry]
+    ) -> PercentByTeam:
+        """Return the units usable by the given entries in percent of each limit."""
         chosen = list(entries)
         return {
             name: 100 * sum(e.count_usable_units(name) for e in chosen) / team.limit
@@ -76,10 +84,10 @@
         }
 
 
-def _combine(
-    samples: list[UnitsByTeam], function: t.Callable[[list[float]], float]
-) -> UnitsByTeam:
-    return {team: function([s[team] for s in samples]) for team in samples[0]}
+def _aggregate(
+    samples: list[PercentByTeam], function: t.Callable[[list[float]], float]
+) -> PercentByTeam:
+    return {team: function([sample[team] for sample in samples]) for team in samples[0]}
 
 
 def _mean(values: list[float]) -> float:
@@ -88,75 +96,79 @@
 
 def measure_outage(
     text: str, limits: QuotaSettings, duration_ms: int
-) -> list[tuple[str, UnitsByTeam]]:
-    """Take the store from all entries; measure at the end of the outage.
+) -> list[tuple[str, PercentByTeam]]:
+    """Disconnect all entries from the store and measure at the end of the outage.
 
-    :returns: the lowest and the mean over the time since the last renewals.
+    :param duration_ms: length of the outage.
+    :returns: the lowest value and the mean over ``OUTAGE_DELAYS_MS``, which vary the
+        time since the last lease renewals.
     """
     samples = []
-    for phase_ms in OUTAGE_PHASES_MS:
-        trial = _Trial(text, limits)
-        trial.group.run(phase_ms, 1_000)
+    for delay_ms in OUTAGE_DELAYS_MS:
+        trial = _TrialRun(text, limits)
+        trial.group.run(delay_ms, 1_000)
         trial.group.set_store_unreachable(True)
         trial.group.clock.advance(duration_ms)
-        samples.append(trial.percent(trial.group.entries))
-    return [("lowest", _combine(samples, min)), ("mean", _combine(samples, _mean))]
+        samples.append(trial.compute_usable_percent(trial.group.entries))
+    return [("lowest", _aggregate(samples, min)), ("mean", _aggregate(samples, _mean))]
 
 
 def measure_partition(
     text: str, limits: QuotaSettings
-) -> list[tuple[str, UnitsByTeam]]:
-    """Cut one zone off from the store and the others for ten minutes.
+) -> list[tuple[str, PercentByTeam]]:
+    """Isolate one zone from the store and from the other zones for ten minutes.
 
-    :returns: before the partition and at its end, inside and outside the zone.
+    :returns: values inside and outside the zone, before the partition and at its end.
     """
-    trial = _Trial(text, limits)
+    trial = _TrialRun(text, limits)
     entries = trial.group.entries
     zone = entries[0].settings.zone
     inside = [e for e in entries if e.settings.zone == zone]
     outside = [e for e in entries if e.settings.zone != zone]
     rows = [
-        ("zone before", trial.percent(inside)),
-        ("others before", trial.percent(outside)),
+        ("zone before", trial.compute_usable_percent(inside)),
+        ("others before", trial.compute_usable_percent(outside)),
     ]
     for entry in inside:
         entry.isolated = True
         entry.set_store_unreachable(True)
     trial.group.run(PARTITION_MS, 1_000)
-    rows.append(("zone", trial.percent(inside)))
-    rows.append(("others", trial.percent(outside)))
+    rows.append(("zone", trial.compute_usable_percent(inside)))
+    rows.append(("others", trial.compute_usable_percent(outside)))
     return rows
 
 
 def measure_replacements(
     text: str, limits: QuotaSettings, same_address: bool
-) -> list[tuple[str, UnitsByTeam]]:
+) -> list[tuple[str, PercentByTeam]]:
     """Kill and replace an entry every half hour for two hours.
 
-    :param same_address: whether the replacement has the address of the old one.
-    :returns: the lowest and the mean over the second hour.
+    :param same_address: whether a replacement keeps the instance name and address.
+    :returns: the lowest value and the mean over the second hour.
     """
-    trial = _Trial(text, limits)
+    trial = _TrialRun(text, limits)
     group = trial.group
-    samples: list[UnitsByTeam] = []
+    samples: list[PercentByTeam] = []
     for number in range(2 * HOUR_MS // REPLACE_INTERVAL_MS):
         index = number % ENTRY_COUNT
         instance = None if same_address else ENTRY_COUNT + number
         group.replace_entry(index, f"r{number}", instance)
-        measured = number >= HOUR_MS // REPLACE_INTERVAL_MS
+        in_second_hour = number >= HOUR_MS // REPLACE_INTERVAL_MS
         group.run(
             REPLACE_INTERVAL_MS,
-            LONG_STEP_MS,
-            lambda: samples.append(trial.percent(group.entries)),
+            REPLACEMENT_STEP_MS,
+            lambda: samples.append(trial.compute_usable_percent(group.entries)),
         )
-        if not measured:
+        if not in_second_hour:
             samples.clear()
-    return [("lowest", _combine(samples, min)), ("mean", _combine(samples, _mean))]
+    return [("lowest", _aggregate(samples, min)), ("mean", _aggregate(samples, _mean))]
 
 
-def measure(text: str) -> t.Iterator[Row]:
-    """Measure all scenarios and variants for one operators' text."""
-    scenarios: dict[str, t.Callable[[QuotaSettings], list[tuple[str, UnitsByTeam]]]] = {
+def measure(text: str) -> t.Iterator[ScenarioResult]:
+    """Measure all scenarios and variants for one configuration text."""
+    scenarios: dict[
+        str, t.Callable[[QuotaSettings], list[tuple[str, PercentByTeam]]]
+    ] = {
         "store down 60 s": lambda limits: measure_outage(text, limits, 60_000),
         "store down 1 h": lambda limits: measure_outage(text, limits, HOUR_MS),
         "zone cut off 10 min": lambda limits: measure_partition(text, limits),
@@ -167,16 +179,16 @@
             text, limits, True
         ),
     }
-    for scenario, run in scenarios.items():
+    for scenario, measure_scenario in scenarios.items():
         for variant, limits in VARIANTS.items():
-            for label, percent_by_team in run(limits):
-                yield Row(f"{scenario}: {label}", variant, percent_by_team)
+            for label, percent_by_team in measure_scenario(limits):
+                yield ScenarioResult(f"{scenario}: {label}", variant, percent_by_team)
 
 
-def format_row(row: Row) -> str:
-    """Format one line of the table."""
-    cells = "".join(f"{value:>8.0f}" for value in row.percent_by_team.values())
-    return f"{row.scenario:<42}{row.variant:<23}{cells}"
+def format_result(result: ScenarioResult) -> str:
+    """Return one line of the table."""
+    cells = "".join(f"{value:>8.0f}" for value in result.percent_by_team.values())
+    return f"{result.scenario:<42}{result.variant:<23}{cells}"
 
 
 class UnitsCommand(Command):
@@ -184,7 +196,7 @@
 
     name = "units"
     description = "Measure how much of each team's limit stays usable."
-    arguments = [argument("text", "Operators' texts.", multiple=True)]
+    arguments = [argument("text", "Paths of configuration texts.", multiple=True)]
 
     def handle(self) -> int:
         for path in self.argument("text"):
@@ -195,13 +207,13 @@
             self.line(f"{'':<65}{names}")
             limits = "".join(f"{team.limit:>8}" for team in teams)
             self.line(f"{'limit':<65}{limits}")
-            for row in measure(text):
-                self.line(format_row(row))
+            for result in measure(text):
+                self.line(format_result(result))
         return 0
 
 
 def main() -> int:
-    """Run the command alone: ``python -m cranberrywheel_load.units TEXT...``."""
+    """Run only this command: ``python -m cranberrywheel_load.units TEXT...``."""
     logging.set_verbosity(logging.ERROR)
     application = Application("cranberrywheel-load")
     application.add(UnitsCommand())
