--- a/src/cranberrywheel_spec/check.py
+++ b/src/cranberrywheel_spec/check.py
@@ -13,8 +13,14 @@
 
 import z3
 
-from cranberrywheel_spec.bounded import Model, Result, State, check, prove
 from cranberrywheel_spec.key_freshness import key_freshness
+from cranberrywheel_spec.model_checking import (
+    CheckResult,
+    Model,
+    State,
+    find_unproved_claims,
+    find_violation,
+)
 from cranberrywheel_spec.pool_moves import pool_moves
 from cranberrywheel_spec.tickets import tickets
 from cranberrywheel_spec.unit_proof import unit_proof
@@ -39,7 +45,7 @@
 }
 
 
-def size(model: Model) -> str:
+def describe_size(model: Model) -> str:
     """Describe the size of a model: variables and actions."""
     sorts = model.sorts | model.inputs
     state = State(**{name: z3.Const(name, sort) for name, sort in sorts.items()})
@@ -49,43 +55,45 @@
     return f"variables={len(kinds)} ({counts}) actions={len(actions)}"
 
 
-def without(model: Model, guard: str) -> Result:
+def find_violation_without_guard(model: Model, guard: str) -> CheckResult:
     """Check a model without one guard, for the property that depends on it."""
     name = model.guards[guard]
-    only = dataclasses.replace(
+    single_property_model = dataclasses.replace(
         model, properties=lambda s: {name: model.properties(s)[name]}
     )
-    return check(only, guard)
+    return find_violation(single_property_model, guard)
 
 
-def report(model: Model, deeper: int, traces: bool) -> bool:
+def report_model(model: Model, deeper: int, traces: bool) -> bool:
     """Check one model and print the results.
 
     :param deeper: steps beyond the depth of the model.
     :param traces: whether to print the violations that missing guards allow.
     :returns: whether everything is as expected.
     """
-    print(f"{model.name}: {size(model)}")
-    result = check(model, depth=model.depth + deeper)
-    good = not result.violated
+    print(f"{model.name}: {describe_size(model)}")
+    result = find_violation(model, depth=model.depth + deeper)
+    as_expected = not result.violated
     print(f"  all guards: {result.violated or 'holds'}, every trace to {result.depth}")
     for step in result.steps:
         print(f"    {step}")
     if proof := PROOFS.get(model.name):
-        failed = prove(proof)
-        good = good and not failed
+        failed = find_unproved_claims(proof)
+        as_expected = as_expected and not failed
         text = f"not proved: {', '.join(failed)}" if failed else "proved"
         print(f"  any length: {text}")
     for guard in model.guards:
-        found = without(model, guard)
-        good = good and bool(found.violated)
+        guard_result = find_violation_without_guard(model, guard)
+        as_expected = as_expected and bool(guard_result.violated)
         text = (
-            f"fails at {found.depth}: {found.violated}" if found.violated else "HOLDS"
+            f"fails at {guard_result.depth}: {guard_result.violated}"
+            if guard_result.violated
+            else "HOLDS"
         )
         print(f"  without '{guard}': {text}")
-        for step in found.steps if traces else ():
+        for step in guard_result.steps if traces else ():
             print(f"    {step}")
-    return good
+    return as_expected
 
 
 def main(arguments: t.Sequence[str] | None = None) -> int:
@@ -98,9 +106,11 @@
     parser.add_argument("--deeper", type=int, default=0, metavar="N")
     parser.add_argument("--traces", action="store_true")
     options = parser.parse_args(arguments)
-    good = [report(model, options.deeper, options.traces) for model in MODELS]
-    print(f"{sum(good)} of {len(good)} models as expected")
-    return 0 if all(good) else 1
+    as_expected = [
+        report_model(model, options.deeper, options.traces) for model in MODELS
+    ]
+    print(f"{sum(as_expected)} of {len(as_expected)} models as expected")
+    return 0 if all(as_expected) else 1
 
 
 if __name__ == "__main__":
--- a/src/cranberrywheel_spec/compare.py
+++ b/src/cranberrywheel_spec/compare.py
@@ -14,25 +14,25 @@
 from hypothesis.stateful import RuleBasedStateMachine, run_state_machine_as_test
 
 from cranberrywheel_spec.freshness_conformance import FreshnessMachine
-from cranberrywheel_spec.hold_conformance import HoldMachine
 from cranberrywheel_spec.pool_conformance import PoolMachine
 from cranberrywheel_spec.ticket_conformance import TicketMachine
-from cranberrywheel_spec.transfer_conformance import TransferMachine
 from cranberrywheel_spec.unit_times import LONG
+from cranberrywheel_spec.unit_times_conformance import UnitTimesMachine
+from cranberrywheel_spec.unit_transfers_conformance import UnitTransfersMachine
 
 
-class LongHoldMachine(HoldMachine):
+class LongUnitTimesMachine(UnitTimesMachine):
     """The comparison for long units."""
 
-    hold = LONG
+    unit_kind = LONG
 
 
 #: Each machine with the examples that the tests run.
 EXAMPLES_BY_MACHINE: dict[type[RuleBasedStateMachine], int] = {
     TicketMachine: 60,
-    TransferMachine: 60,
-    HoldMachine: 30,
-    LongHoldMachine: 30,
+    UnitTransfersMachine: 60,
+    UnitTimesMachine: 30,
+    LongUnitTimesMachine: 30,
     PoolMachine: 250,
     FreshnessMachine: 60,
 }
@@ -50,7 +50,7 @@
     untaken: frozenset[str]
 
 
-def run_settings(examples: int) -> hypothesis.settings:
+def build_run_settings(examples: int) -> hypothesis.settings:
     """Return settings with fixed seeds."""
     return hypothesis.settings(
         max_examples=examples,
@@ -71,10 +71,13 @@
     :raises AssertionError: if the product differs from the model.
     """
     model = machine.model()
-    model.taken.clear()
-    run_state_machine_as_test(machine, settings=run_settings(examples))
+    model.taken_count_by_action.clear()
+    run_state_machine_as_test(machine, settings=build_run_settings(examples))
     names = {action.name for action in model.actions}
-    return Comparison(sum(model.taken.values()), frozenset(names - model.taken.keys()))
+    return Comparison(
+        sum(model.taken_count_by_action.values()),
+        frozenset(names - model.taken_count_by_action.keys()),
+    )
 
 
 def main(arguments: t.Sequence[str] | None = None) -> int:
@@ -87,17 +90,19 @@
     parser.add_argument("--examples", type=int, metavar="N")
     options = parser.parse_args(arguments)
     code = 0
-    for machine, few in EXAMPLES_BY_MACHINE.items():
-        examples = options.examples or few
+    for machine, default_examples in EXAMPLES_BY_MACHINE.items():
+        examples = options.examples or default_examples
         name = f"{machine.__name__} ({machine.model().name})"
         try:
-            found = compare(machine, examples)
+            comparison = compare(machine, examples)
         except AssertionError as error:
             print(f"{name}: DIFFERS: {error}")
             code = 1
         else:
-            untaken = ", ".join(sorted(found.untaken)) or "none"
-            print(f"{name}: runs={examples} steps={found.steps} untaken: {untaken}")
+            untaken = ", ".join(sorted(comparison.untaken)) or "none"
+            print(
+                f"{name}: runs={examples} steps={comparison.steps} untaken: {untaken}"
+            )
     return code
 
 
--- a/src/cranberrywheel_spec/conformance.py
+++ b/src/cranberrywheel_spec/conformance.py
@@ -24,12 +24,12 @@
     def seed(self, bits: tuple[bool, ...]) -> None:
         """Take the source of all choices of this run."""
         self.rng = random.Random(sum(bit << i for i, bit in enumerate(bits)))
-        self.begin()
+        self.set_up_run()
 
-    def begin(self) -> None:
+    def set_up_run(self) -> None:
         """Set up what depends on the seed."""
 
-    def options(self) -> dict[str, int]:
+    def list_step_weights(self) -> dict[str, int]:
         """Return the possible steps with their weights.
 
         :returns: weights by step: a method name and, after a space, its argument.
@@ -37,10 +37,10 @@
         raise NotImplementedError
 
     @rule()
-    def steps(self) -> None:
+    def take_steps(self) -> None:
         """Take some steps; hypothesis alone takes about 14 in a run."""
         for _ in range(STEPS_PER_RULE):
-            weights = self.options()
+            weights = self.list_step_weights()
             (name,) = self.rng.choices([*weights], [*weights.values()])
             hypothesis.note(name)
             method, _, argument = name.partition(" ")
--- a/src/cranberrywheel_spec/freshness_conformance.py
+++ b/src/cranberrywheel_spec/freshness_conformance.py
@@ -22,7 +22,7 @@
     PAIRS,
     key_freshness,
 )
-from cranberrywheel_spec.walk import CompiledModel, Walk
+from cranberrywheel_spec.model_execution import CompiledModel, ModelExecution
 
 _MODEL = CompiledModel(key_freshness())
 _KEY = "key1"
@@ -96,7 +96,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.walk = Walk(_MODEL, lists_c=True, lists_w=True, lists_d=True)
+        self.execution = ModelExecution(
+            _MODEL, lists_c=True, lists_w=True, lists_d=True
+        )
         self.before, self.after = _records()
         self.stored = self.before
         self.passed_ms = 0
@@ -128,9 +130,9 @@
         """Return the model that this machine compares with."""
         return _MODEL
 
-    def options(self) -> dict[str, int]:
+    def list_step_weights(self) -> dict[str, int]:
         found = {"wait": 6, "deliver_old_record x": 1, "deliver_old_record d": 1}
-        for name in self.walk.enabled():
+        for name in self.execution.find_enabled_actions():
             if "answer" in name or "gets" in name:
                 found[f"take {name}"] = 9
             elif "has heard all" not in name:
@@ -150,13 +152,15 @@
         self.entries[i].exchange.holder.adopt(self.before)
         self._check()
 
-    def _walk(self, name: str) -> None:
-        self.walk.take(name, passed_s=fractions.Fraction(self.passed_ms, 1000))
+    def _advance_model(self, name: str) -> None:
+        self.execution.take_action(
+            name, passed_s=fractions.Fraction(self.passed_ms, 1000)
+        )
         self.passed_ms = 0
 
     def take(self, name: str) -> None:
         """Take a step of the model and do the same in the product."""
-        self._walk(name)
+        self._advance_model(name)
         for i in LEARNERS:
             if name == f"{i} sends a read to the store":
                 self.sent_ms[i] = self.entries[i].clock.now_ms()
@@ -188,8 +192,8 @@
             exchange.holder.adopt(record)
             assert exchange.merge_state(state, sent_ms)
         # The product counts the messages of all entries in each merge.
-        if f"{i} has heard all" in self.walk.enabled():
-            self._walk(f"{i} has heard all")
+        if f"{i} has heard all" in self.execution.find_enabled_actions():
+            self._advance_model(f"{i} has heard all")
 
     def _withdraw(self, name: str) -> None:
         w, c = self.entries["w"].exchange, self.entries["c"].exchange
@@ -208,7 +212,7 @@
                 self._list_instances()
 
     def _check(self) -> None:
-        values = self.walk.values
+        values = self.execution.values
         now_s = values["now_s"] + fractions.Fraction(self.passed_ms, 1000)
         late = values["accepted"] and now_s - values["accepted_s"] > BOUND_S
         for name, entry in self.entries.items():
--- a/src/cranberrywheel_spec/history.py
+++ b/src/cranberrywheel_spec/history.py
@@ -56,58 +56,67 @@
 """One item for each checked event: a violation or ``None``."""
 
 
-def _at_most_once(history: History) -> Findings:
-    for work in sorted({e.ticket for e in history.select(Invoke) if e.ticket}):
-        starts = history.starts_by_work_id.get(work, [])
+def _check_at_most_once(history: History) -> Findings:
+    for work_id in sorted({e.ticket for e in history.select(Invoke) if e.ticket}):
+        starts = history.starts_by_work_id.get(work_id, [])
         where = ", ".join(f"{s.worker} at {s.at_ms}" for s in starts)
-        yield f"ticket {work} started on {where}" if len(starts) > 1 else None
+        yield f"ticket {work_id} started on {where}" if len(starts) > 1 else None
 
 
-def _true_not_run(history: History) -> Findings:
+def _check_true_not_run(history: History) -> Findings:
     answered_ms = {e.request: e.at_ms for e in history.select(Response)}
     for answer in history.select(Response):
         if answer.outcome != "not-run":
             continue
-        work = history.get_work_id(answer.request)
+        work_id = history.get_work_id(answer.request)
         others = [
-            a for a in history.invokes_by_work_id[work] if a.request != answer.request
+            a
+            for a in history.invokes_by_work_id[work_id]
+            if a.request != answer.request
         ]
-        found = None
-        for start in history.starts_by_work_id.get(work, []):
+        violation = None
+        for start in history.starts_by_work_id.get(work_id, []):
             # A later start is legitimate only for another open call with the ticket.
             open_call = any(
                 a.at_ms <= start.at_ms <= answered_ms.get(a.request, float("inf"))
                 for a in others
             )
             if start.at_ms <= answer.at_ms or not open_call:
-                found = f"{answer.request} got not-run, {start.task} ran for {work}"
-        yield found
+                violation = (
+                    f"{answer.request} got not-run, {start.task} ran for {work_id}"
+                )
+        yield violation
     for query in history.select(Query):
         if query.outcome == "not-run":
             starts = history.starts_by_work_id.get(query.ticket, [])
             yield f"ticket {query.ticket} not-run but started" if starts else None
 
 
-def _true_outcome(history: History) -> Findings:
+def _check_true_outcome(history: History) -> Findings:
     for answer in history.select(Response):
         if answer.outcome not in ("ok", "failed"):
             continue
-        work = history.get_work_id(answer.request)
+        work_id = history.get_work_id(answer.request)
         starts = [
             s
-            for s in history.starts_by_work_id.get(work, [])
+            for s in history.starts_by_work_id.get(work_id, [])
             if s.at_ms <= answer.at_ms
         ]
         ends = [history.ends_by_task.get(s.task) for s in starts]
-        hows = {end.how if end else "open" for end in ends}
-        wanted = {"finished", "open"} if answer.outcome == "ok" else {"failed", "open"}
-        if not hows & wanted:
-            yield f"{answer.request} got {answer.outcome}, its tasks: {sorted(hows)}"
+        task_outcomes = {end.how if end else "open" for end in ends}
+        consistent_outcomes = (
+            {"finished", "open"} if answer.outcome == "ok" else {"failed", "open"}
+        )
+        if not task_outcomes & consistent_outcomes:
+            yield (
+                f"{answer.request} got {answer.outcome}, "
+                f"its tasks: {sorted(task_outcomes)}"
+            )
         else:
             yield None
 
 
-def _own_answer(history: History) -> Findings:
+def _check_own_answer(history: History) -> Findings:
     for answer in history.select(Response):
         if answer.request not in history.invokes_by_request:
             yield f"response to {answer.request}, which nobody invoked"
@@ -121,7 +130,7 @@
             yield None
 
 
-def _limits(history: History) -> Findings:
+def _check_team_limits(history: History) -> Findings:
     running: dict[str, dict[str, TaskStart]] = collections.defaultdict(dict)
     limits: dict[str, list[Limit]] = collections.defaultdict(list)
     for event in history.events:
@@ -136,87 +145,106 @@
                     del tasks[task]
         elif isinstance(event, TaskStart) and limits[event.team]:
             running[event.team][event.task] = event
-            old_ms = event.at_ms - history.meta.limit_bound_ms
-            ended = [x for x in limits[event.team] if x.at_ms <= old_ms][:-1]
-            highest = max(x.limit for x in limits[event.team][len(ended) :])
+            bound_start_ms = event.at_ms - history.meta.limit_bound_ms
+            superseded = [x for x in limits[event.team] if x.at_ms <= bound_start_ms][
+                :-1
+            ]
+            highest = max(x.limit for x in limits[event.team][len(superseded) :])
             count = len(running[event.team])
-            over = f"team {event.team} ran {count} over {highest} at {event.at_ms}"
-            yield over if count > highest else None
+            violation = f"team {event.team} ran {count} over {highest} at {event.at_ms}"
+            yield violation if count > highest else None
 
 
-def _units(history: History) -> Findings:
-    last: dict[str, Units] = {}
+def _check_units(history: History) -> Findings:
+    last_by_key: dict[str, Units] = {}
     for record in sorted(history.select(Units), key=lambda e: e.revision):
-        before = last.get(record.team)
-        held = sum(record.held_by_holder.values())
+        previous = last_by_key.get(record.team)
+        held_units = sum(record.held_by_holder.values())
         # After a limit is lowered, the sum may stay above it but must not grow.
-        most = max(record.limit, sum(before.held_by_holder.values()) if before else 0)
-        bad = held > most or min(record.held_by_holder.values(), default=0) < 0
-        last[record.team] = record
-        at = f"revision {record.revision}"
-        yield f"limits/{record.team} {at} holds {held} of {most}" if bad else None
+        max_units = max(
+            record.limit, sum(previous.held_by_holder.values()) if previous else 0
+        )
+        is_violation = (
+            held_units > max_units or min(record.held_by_holder.values(), default=0) < 0
+        )
+        last_by_key[record.team] = record
+        record_label = f"revision {record.revision}"
+        yield (
+            f"limits/{record.team} {record_label} holds {held_units} of {max_units}"
+            if is_violation
+            else None
+        )
 
 
-def _versions(history: History) -> Findings:
-    last: dict[str, int] = {}
+def _check_versions(history: History) -> Findings:
+    last_by_key: dict[str, int] = {}
     for adopt in history.select(Adopt):
-        before = last.get(adopt.process, 0)
-        last[adopt.process] = max(before, adopt.version)
-        text = f"{adopt.process} went from version {before} to {adopt.version}"
-        yield text if adopt.version <= before else None
+        previous = last_by_key.get(adopt.process, 0)
+        last_by_key[adopt.process] = max(previous, adopt.version)
+        text = f"{adopt.process} went from version {previous} to {adopt.version}"
+        yield text if adopt.version <= previous else None
 
 
-def _keys(history: History) -> Findings:
+def _check_keys(history: History) -> Findings:
     ends_ms = {e.key_id: e.at_ms for e in reversed(history.select(Withdraw))}
     accepted = {s.request for s in history.select(TaskStart)}
     accepted |= {e.request for e in history.select(Response) if e.outcome == "ok"}
     for invoke in history.select(Invoke):
         end_ms = ends_ms.get(invoke.key_id, float("inf")) + history.meta.key_bound_ms
-        late = invoke.at_ms > end_ms and invoke.queue not in history.meta.stale_queues
-        if late or not invoke.key_valid:
+        is_late = (
+            invoke.at_ms > end_ms and invoke.queue not in history.meta.stale_queues
+        )
+        if is_late or not invoke.key_valid:
             text = f"{invoke.request} was accepted with key {invoke.key_id!r}"
             yield text if invoke.request in accepted else None
 
 
-def _teams(history: History) -> Findings:
+def _check_team_and_queue(history: History) -> Findings:
     for start in history.select(TaskStart):
         invoke = history.invokes_by_request.get(start.request)
         if invoke is None:
             yield f"task {start.task} ran for {start.request!r}, which nobody invoked"
         else:
-            wrong = (start.team, start.queue) != (invoke.team, invoke.queue)
+            is_wrong = (start.team, start.queue) != (invoke.team, invoke.queue)
             where = f"{start.team!r}/{start.queue!r}"
-            yield f"task {start.task} ran as {where}" if wrong else None
+            yield f"task {start.task} ran as {where}" if is_wrong else None
 
 
-def _pools(history: History) -> Findings:
-    last: dict[str, PoolRecord] = {}
+def _check_pool_records(history: History) -> Findings:
+    last_by_key: dict[str, PoolRecord] = {}
     for record in sorted(history.select(PoolRecord), key=lambda e: e.revision):
-        before = last.get(record.zone)
-        last[record.zone] = record
-        yield _pool_fault(record, before, last)
+        previous = last_by_key.get(record.zone)
+        last_by_key[record.zone] = record
+        yield _find_pool_violation(record, previous, last_by_key)
 
 
-def _pool_fault(
-    record: PoolRecord, before: PoolRecord | None, last: dict[str, PoolRecord]
+def _find_pool_violation(
+    record: PoolRecord, previous: PoolRecord | None, last_by_key: dict[str, PoolRecord]
 ) -> str | None:
-    at = f"pools/{record.zone} revision {record.revision}"
-    for zone, other in last.items():
-        both = sorted(set(record.instances) & set(other.instances))
-        if zone != record.zone and both:
-            return f"{at}: {both[0]} is also in zone {zone}"
-    if before is None:
+    record_label = f"pools/{record.zone} revision {record.revision}"
+    for zone, other in last_by_key.items():
+        shared_names = sorted(set(record.instances) & set(other.instances))
+        if zone != record.zone and shared_names:
+            return f"{record_label}: {shared_names[0]} is also in zone {zone}"
+    if previous is None:
         return None
-    if record.revision == before.revision or record.fence < before.fence:
-        return f"{at}: fence {record.fence} after {before.fence}"
-    for name, placement in record.instances.items():
-        old = before.instances.get(name)
-        if old and old.pool != placement.pool and old.state != "empty":
-            return f"{at}: {name} changed pool in state {old.state}"
+    if record.revision == previous.revision or record.fence < previous.fence:
+        return f"{record_label}: fence {record.fence} after {previous.fence}"
+    for name, assignment in record.instances.items():
+        previous_assignment = previous.instances.get(name)
+        if (
+            previous_assignment
+            and previous_assignment.pool != assignment.pool
+            and previous_assignment.state != "empty"
+        ):
+            return (
+                f"{record_label}: {name} changed pool "
+                f"in state {previous_assignment.state}"
+            )
     return None
 
 
-def _leaving(history: History) -> Findings:
+def _check_leaving_workers(history: History) -> Findings:
     since_ms: dict[str, float] = {}
     for event in history.events:
         if isinstance(event, WorkerEvent) and event.event == "leaving":
@@ -230,17 +258,17 @@
 
 
 RULES: dict[str, t.Callable[[History], Findings]] = {
-    "at-most-once": _at_most_once,
-    "true-not-run": _true_not_run,
-    "true-outcome": _true_outcome,
-    "own-answer": _own_answer,
-    "limit": _limits,
-    "units": _units,
-    "versions": _versions,
-    "keys": _keys,
-    "team": _teams,
-    "one-pool": _pools,
-    "leaving": _leaving,
+    "at-most-once": _check_at_most_once,
+    "true-not-run": _check_true_not_run,
+    "true-outcome": _check_true_outcome,
+    "own-answer": _check_own_answer,
+    "limit": _check_team_limits,
+    "units": _check_units,
+    "versions": _check_versions,
+    "keys": _check_keys,
+    "team": _check_team_and_queue,
+    "one-pool": _check_pool_records,
+    "leaving": _check_leaving_workers,
 }
 
 
@@ -252,8 +280,8 @@
     """
     history = History(list(events))
     verdicts = []
-    for rule, find in RULES.items():
-        findings = list(find(history))
+    for rule, find_violations in RULES.items():
+        findings = list(find_violations(history))
         verdicts.append(Verdict(rule, len(findings), [f for f in findings if f]))
     return verdicts
 
--- a/src/cranberrywheel_spec/history_events.py
+++ b/src/cranberrywheel_spec/history_events.py
@@ -139,7 +139,7 @@
     key_id: str
 
 
-class Placement(pydantic.BaseModel):
+class PoolAssignment(pydantic.BaseModel):
     """Pool and state of one instance in a pool record."""
 
     model_config = pydantic.ConfigDict(extra="ignore", frozen=True)
@@ -152,7 +152,7 @@
     zone: str
     revision: int
     fence: int
-    instances: dict[str, Placement]
+    instances: dict[str, PoolAssignment]
 
 
 AnyEvent = t.Annotated[
@@ -171,7 +171,7 @@
     pydantic.Field(discriminator="event"),
 ]
 _ADAPTER: pydantic.TypeAdapter[t.Any] = pydantic.TypeAdapter(AnyEvent)
-_E = t.TypeVar("_E", bound=Event)
+_EventType = t.TypeVar("_E", bound=Event)
 
 
 class HistoryError(Exception):
@@ -225,7 +225,7 @@
             self.invokes_by_work_id[invoke.ticket or invoke.request].append(invoke)
         self.ends_by_task = {e.task: e for e in self.select(TaskEnd)}
 
-    def select(self, kind: type[_E]) -> list[_E]:
+    def select(self, kind: type[_EventType]) -> list[_EventType]:
         """Return the events of one class, in time order."""
         return [event for event in self.events if isinstance(event, kind)]
 
--- a/src/cranberrywheel_spec/key_freshness.py
+++ b/src/cranberrywheel_spec/key_freshness.py
@@ -11,40 +11,48 @@
 
 import z3
 
-from cranberrywheel_spec.bounded import NEVER, Action, Guard, Model, State
+from cranberrywheel_spec.model_checking import NEVER, Action, Guard, Model, State
 
 LEARNERS, INFORMED = ("x", "d"), ("c", "w")
 ENTRIES = (*LEARNERS, *INFORMED)
 BOUND_S = 5
 #: ``("i", "j")``: i asks j.
-PAIRS = tuple((i, j) for i in LEARNERS for j in ENTRIES if i != j)
+PAIRS = tuple((entry, peer) for entry in LEARNERS for peer in ENTRIES if entry != peer)
 
 _TIMES = (
     "now_s",
     "accepted_s",
-    *(f"{name}_{i}" for i in LEARNERS for name in ("proof_s", "read_sent_s")),
-    *(f"{name}_{i}{j}" for i, j in PAIRS for name in ("heard_s", "sent_s")),
+    *(f"{name}_{entry}" for entry in LEARNERS for name in ("proof_s", "read_sent_s")),
+    *(
+        f"{name}_{entry}{peer}"
+        for entry, peer in PAIRS
+        for name in ("heard_s", "sent_s")
+    ),
     # In an answer of another learner: ages of its proof and of what it heard.
     *(
-        f"{name}_{i}"
-        for i in LEARNERS
+        f"{name}_{entry}"
+        for entry in LEARNERS
         for name in ("proof_age_s", "c_age_s", "w_age_s")
     ),
 )
 _FLAGS = (
     "stored",
     "accepted",
-    *(f"knows_{i}" for i in ENTRIES),
-    *(f"gone_{i}" for i in INFORMED),
-    *(f"{name}_{i}" for i in LEARNERS for name in ("reading", "read", "read_knows")),
+    *(f"knows_{entry}" for entry in ENTRIES),
+    *(f"gone_{entry}" for entry in INFORMED),
+    *(
+        f"{name}_{entry}"
+        for entry in LEARNERS
+        for name in ("reading", "read", "read_knows")
+    ),
     *(
-        f"{name}_{i}{j}"
-        for i, j in PAIRS
+        f"{name}_{entry}{peer}"
+        for entry, peer in PAIRS
         for name in ("calling", "answered", "answer_knows")
     ),
 )
 #: Whether the roster of ``x`` lists the entry.
-_ROSTER = ("lists_d", "lists_c", "lists_w")
+_ROSTER_FLAGS = ("lists_d", "lists_c", "lists_w")
 
 
 def _get(s: State, name: str, *entries: str) -> t.Any:
@@ -62,109 +70,142 @@
     ]
 
 
-def _reads(s: State, i: str, guard: Guard) -> list[Action]:
+def _read_actions(s: State, entry: str, guard: Guard) -> list[Action]:
     """Proof 1: the entry's own read of the store."""
-    late = guard("read age counts from before the read", NEVER)
-    sent_s = z3.If(late, s.now_s, _get(s, "read_sent_s", i))
+    counts_from_answer = guard("read age counts from before the read", NEVER)
+    sent_s = z3.If(counts_from_answer, s.now_s, _get(s, "read_sent_s", entry))
     return [
         Action(
-            f"{i} sends a read to the store",
+            f"{entry} sends a read to the store",
             z3.BoolVal(True),
-            {f"reading_{i}": True, f"read_{i}": False, f"read_sent_s_{i}": s.now_s},
+            {
+                f"reading_{entry}": True,
+                f"read_{entry}": False,
+                f"read_sent_s_{entry}": s.now_s,
+            },
         ),
         Action(
-            f"store answers {i}",
-            z3.And(_get(s, "reading", i), z3.Not(_get(s, "read", i))),
-            {f"read_{i}": True, f"read_knows_{i}": s.stored},
+            f"store answers {entry}",
+            z3.And(_get(s, "reading", entry), z3.Not(_get(s, "read", entry))),
+            {f"read_{entry}": True, f"read_knows_{entry}": s.stored},
         ),
         Action(
-            f"{i} gets the record",
-            _get(s, "read", i),
+            f"{entry} gets the record",
+            _get(s, "read", entry),
             {
-                f"reading_{i}": False,
-                f"read_{i}": False,
-                f"knows_{i}": z3.Or(_get(s, "knows", i), _get(s, "read_knows", i)),
-                f"proof_s_{i}": _max(_get(s, "proof_s", i), sent_s),
+                f"reading_{entry}": False,
+                f"read_{entry}": False,
+                f"knows_{entry}": z3.Or(
+                    _get(s, "knows", entry), _get(s, "read_knows", entry)
+                ),
+                f"proof_s_{entry}": _max(_get(s, "proof_s", entry), sent_s),
             },
         ),
     ]
 
 
-def _calls(s: State, i: str, j: str, guard: Guard) -> list[Action]:
+def _call_actions(s: State, entry: str, peer: str, guard: Guard) -> list[Action]:
     """Exchange of i with j; j can be an entry that is gone only before it is."""
-    late = guard("message age counts from before the call", NEVER)
-    sent_s = z3.If(late, s.now_s, _get(s, "sent_s", i, j))
-    known = z3.Or(_get(s, "knows", i), _get(s, "answer_knows", i, j))
-    unmerged = guard("knowledge is merged before its age counts", NEVER)
-    answer = {f"answered_{i}{j}": True, f"answer_knows_{i}{j}": _get(s, "knows", j)}
-    gain = {
-        f"calling_{i}{j}": False,
-        f"answered_{i}{j}": False,
-        f"knows_{i}": z3.If(unmerged, _get(s, "knows", i), known),
-        f"heard_s_{i}{j}": _max(_get(s, "heard_s", i, j), sent_s),
+    counts_from_answer = guard("message age counts from before the call", NEVER)
+    sent_s = z3.If(counts_from_answer, s.now_s, _get(s, "sent_s", entry, peer))
+    knows_after_merge = z3.Or(
+        _get(s, "knows", entry), _get(s, "answer_knows", entry, peer)
+    )
+    skips_merge = guard("knowledge is merged before its age counts", NEVER)
+    reply_updates = {
+        f"answered_{entry}{peer}": True,
+        f"answer_knows_{entry}{peer}": _get(s, "knows", peer),
+    }
+    answer_updates = {
+        f"calling_{entry}{peer}": False,
+        f"answered_{entry}{peer}": False,
+        f"knows_{entry}": z3.If(
+            skips_merge, _get(s, "knows", entry), knows_after_merge
+        ),
+        f"heard_s_{entry}{peer}": _max(_get(s, "heard_s", entry, peer), sent_s),
     }
-    present = z3.BoolVal(True)
-    if j in LEARNERS:
-        answer[f"proof_age_s_{i}"] = s.now_s - _get(s, "proof_s", j)
-        proof_s = sent_s - _get(s, "proof_age_s", i)
-        gain[f"proof_s_{i}"] = _max(_get(s, "proof_s", i), proof_s)
-        for k in INFORMED:
-            answer[f"{k}_age_s_{i}"] = s.now_s - _get(s, "heard_s", j, k)
-            word_s = sent_s - _get(s, f"{k}_age_s", i)
-            gain[f"heard_s_{i}{k}"] = _max(_get(s, "heard_s", i, k), word_s)
+    is_running = z3.BoolVal(True)
+    if peer in LEARNERS:
+        reply_updates[f"proof_age_s_{entry}"] = s.now_s - _get(s, "proof_s", peer)
+        proof_s = sent_s - _get(s, "proof_age_s", entry)
+        answer_updates[f"proof_s_{entry}"] = _max(_get(s, "proof_s", entry), proof_s)
+        for informed in INFORMED:
+            reply_updates[f"{informed}_age_s_{entry}"] = s.now_s - _get(
+                s, "heard_s", peer, informed
+            )
+            reported_s = sent_s - _get(s, f"{informed}_age_s", entry)
+            answer_updates[f"heard_s_{entry}{informed}"] = _max(
+                _get(s, "heard_s", entry, informed), reported_s
+            )
     else:
-        present = z3.Not(_get(s, "gone", j))
+        is_running = z3.Not(_get(s, "gone", peer))
     return [
         Action(
-            f"{i} calls {j}",
+            f"{entry} calls {peer}",
             z3.BoolVal(True),
             {
-                f"calling_{i}{j}": True,
-                f"answered_{i}{j}": False,
-                f"sent_s_{i}{j}": s.now_s,
+                f"calling_{entry}{peer}": True,
+                f"answered_{entry}{peer}": False,
+                f"sent_s_{entry}{peer}": s.now_s,
             },
         ),
         Action(
-            f"{j} answers {i}",
+            f"{peer} answers {entry}",
             z3.And(
-                present, _get(s, "calling", i, j), z3.Not(_get(s, "answered", i, j))
+                is_running,
+                _get(s, "calling", entry, peer),
+                z3.Not(_get(s, "answered", entry, peer)),
             ),
-            answer,
+            reply_updates,
+        ),
+        Action(
+            f"{entry} gets the answer of {peer}",
+            _get(s, "answered", entry, peer),
+            answer_updates,
         ),
-        Action(f"{i} gets the answer of {j}", _get(s, "answered", i, j), gain),
     ]
 
 
-def _census(s: State, i: str, guard: Guard) -> Action:
+def _all_entries_heard_action(s: State, entry: str, guard: Guard) -> Action:
     """Proof 3: the oldest message of all registered entries that are not gone."""
-    (other,) = set(LEARNERS) - {i}
-    unheard = guard("every registered entry is heard", NEVER)
-    unlisted = guard("roster lists every registered entry", NEVER)
-    oldest_s, some = s.now_s, NEVER
-    for j in (other, *INFORMED):
-        heard_s = _get(s, "heard_s", i, j)
-        counts = z3.BoolVal(True) if j == other else z3.Not(_get(s, "gone", j))
-        if i == "x":
-            counts = z3.And(counts, z3.Or(_get(s, "lists", j), z3.Not(unlisted)))
-        some = z3.Or(some, counts)
+    (other,) = set(LEARNERS) - {entry}
+    skips_unheard = guard("every registered entry is heard", NEVER)
+    skips_unlisted = guard("roster lists every registered entry", NEVER)
+    oldest_s, any_counts = s.now_s, NEVER
+    for peer in (other, *INFORMED):
+        heard_s = _get(s, "heard_s", entry, peer)
+        is_counted = (
+            z3.BoolVal(True) if peer == other else z3.Not(_get(s, "gone", peer))
+        )
+        if entry == "x":
+            is_counted = z3.And(
+                is_counted, z3.Or(_get(s, "lists", peer), z3.Not(skips_unlisted))
+            )
+        any_counts = z3.Or(any_counts, is_counted)
         # Without the guard, the message of the other learner is enough.
-        counts = z3.And(counts, z3.Or(z3.Not(unheard), z3.BoolVal(j == other)))
-        oldest_s = z3.If(z3.And(counts, heard_s < oldest_s), heard_s, oldest_s)
-    proof_s = _max(_get(s, "proof_s", i), oldest_s)
-    return Action(f"{i} has heard all", some, {f"proof_s_{i}": proof_s})
-
-
-def _withdrawal(s: State, guard: Guard) -> list[Action]:
-    second = z3.Or(s.knows_c, s.knows_x, s.knows_d)
-    everyone = z3.And(s.knows_x, s.knows_d, z3.Or(s.knows_c, s.gone_c))
-    by_mark = z3.Or(everyone, z3.And(second, guard("mark needs every entry", NEVER)))
-    by_store = guard("stored withdrawal needs a second entry", second)
-    by_store = z3.And(s.stored, by_store)
-    present = z3.Not(s.gone_w)
-    found = [
-        Action("w marks the key", present, {"knows_w": True}),
+        is_counted = z3.And(
+            is_counted, z3.Or(z3.Not(skips_unheard), z3.BoolVal(peer == other))
+        )
+        oldest_s = z3.If(z3.And(is_counted, heard_s < oldest_s), heard_s, oldest_s)
+    proof_s = _max(_get(s, "proof_s", entry), oldest_s)
+    return Action(f"{entry} has heard all", any_counts, {f"proof_s_{entry}": proof_s})
+
+
+def _revocation_actions(s: State, guard: Guard) -> list[Action]:
+    second_entry_knows = z3.Or(s.knows_c, s.knows_x, s.knows_d)
+    all_know = z3.And(s.knows_x, s.knows_d, z3.Or(s.knows_c, s.gone_c))
+    accepted_by_tombstone = z3.Or(
+        all_know, z3.And(second_entry_knows, guard("mark needs every entry", NEVER))
+    )
+    accepted_by_store = guard(
+        "stored withdrawal needs a second entry", second_entry_knows
+    )
+    accepted_by_store = z3.And(s.stored, accepted_by_store)
+    is_running = z3.Not(s.gone_w)
+    actions = [
+        Action("w marks the key", is_running, {"knows_w": True}),
         # Also possible in two steps; one step keeps traces short.
-        Action("w marks and stores", present, {"knows_w": True, "stored": True}),
+        Action("w marks and stores", is_running, {"knows_w": True, "stored": True}),
         Action(
             "c confirms the mark",
             z3.And(s.knows_w, z3.Not(s.gone_c)),
@@ -172,43 +213,59 @@
         ),
         Action(
             "w reports the withdrawal",
-            z3.And(present, s.knows_w, z3.Not(s.accepted), z3.Or(by_mark, by_store)),
+            z3.And(
+                is_running,
+                s.knows_w,
+                z3.Not(s.accepted),
+                z3.Or(accepted_by_tombstone, accepted_by_store),
+            ),
             {"accepted": True, "accepted_s": s.now_s},
         ),
         Action(
             "an entry writes the withdrawal to the store",
-            z3.Or(*(_get(s, "knows", i) for i in ENTRIES)),
+            z3.Or(*(_get(s, "knows", entry) for entry in ENTRIES)),
             {"stored": True},
         ),
     ]
-    for i, other in (INFORMED, INFORMED[::-1]):
-        one = guard(
+    for entry, other in (INFORMED, INFORMED[::-1]):
+        other_present = guard(
             "one informed entry is lost at most", z3.Not(_get(s, "gone", other))
         )
-        found.append(Action(f"{i} dies, list shows it gone", one, {f"gone_{i}": True}))
-    return found
+        actions.append(
+            Action(
+                f"{entry} dies, list shows it gone",
+                other_present,
+                {f"gone_{entry}": True},
+            )
+        )
+    return actions
 
 
 def _actions(s: State, guard: Guard) -> list[Action]:
     now_s = s.now_s + s.passed_s
-    later = State(**(vars(s) | {"now_s": now_s}))
-    found = _withdrawal(later, guard)
-    for i in LEARNERS:
-        found += [*_reads(later, i, guard), _census(later, i, guard)]
-    for i, j in PAIRS:
-        found += _calls(later, i, j, guard)
+    later_state = State(**(vars(s) | {"now_s": now_s}))
+    actions = _revocation_actions(later_state, guard)
+    for entry in LEARNERS:
+        actions += [
+            *_read_actions(later_state, entry, guard),
+            _all_entries_heard_action(later_state, entry, guard),
+        ]
+    for entry, peer in PAIRS:
+        actions += _call_actions(later_state, entry, peer, guard)
     return [
         Action(
             a.name, z3.And(s.passed_s >= 0, a.condition), {"now_s": now_s} | a.updates
         )
-        for a in found
+        for a in actions
     ]
 
 
 def _properties(s: State) -> dict[str, t.Any]:
-    late = z3.And(s.accepted, s.now_s - s.accepted_s > BOUND_S)
-    fresh = s.now_s - s.proof_s_x < BOUND_S
-    return {"withdrawn key is refused": z3.Not(z3.And(late, fresh, z3.Not(s.knows_x)))}
+    is_late = z3.And(s.accepted, s.now_s - s.accepted_s > BOUND_S)
+    is_fresh = s.now_s - s.proof_s_x < BOUND_S
+    return {
+        "withdrawn key is refused": z3.Not(z3.And(is_late, is_fresh, z3.Not(s.knows_x)))
+    }
 
 
 def key_freshness() -> Model:
@@ -230,7 +287,7 @@
     return Model(
         name="key freshness",
         sorts={n: z3.RealSort() for n in _TIMES}
-        | {n: z3.BoolSort() for n in (*_FLAGS, *_ROSTER)},
+        | {n: z3.BoolSort() for n in (*_FLAGS, *_ROSTER_FLAGS)},
         inputs={"passed_s": z3.RealSort()},
         start=_start,
         actions=_actions,
--- a/src/cranberrywheel_spec/bounded.py
+++ b/src/cranberrywheel_spec/model_checking.py
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Result:
+class CheckResult:
     """Outcome of one bounded check.
 
     :param violated: the property that fails, or ``""``.
@@ -75,37 +75,39 @@
     depth: int
 
 
-def _state(model: Model, step: int) -> State:
+def _make_state(model: Model, step: int) -> State:
     sorts = model.sorts | model.inputs
     return State(**{n: z3.Const(f"{n}@{step}", sort) for n, sort in sorts.items()})
 
 
-def _transition(
-    model: Model, here: State, there: State, guard: Guard, choice: t.Any
+def _build_transition(
+    model: Model, state: State, next_state: State, guard: Guard, choice: t.Any
 ) -> tuple[list[t.Any], list[Action]]:
-    actions = model.actions(here, guard)
+    actions = model.actions(state, guard)
     enabled = [
         z3.Implies(choice == i, action.condition) for i, action in enumerate(actions)
     ]
     constraints = [z3.And(0 <= choice, choice < len(actions)), *enabled]
     for name in model.sorts:
-        value = getattr(here, name)
+        value = getattr(state, name)
         for i, action in enumerate(actions):
             if name in action.updates:
                 value = z3.If(choice == i, action.updates[name], value)
-        constraints.append(getattr(there, name) == value)
+        constraints.append(getattr(next_state, name) == value)
     return constraints, actions
 
 
-def _trace(model: Model, found: z3.ModelRef, names: list[str], depth: int) -> list[str]:
+def _format_trace(
+    model: Model, model_values: z3.ModelRef, names: list[str], depth: int
+) -> list[str]:
     steps = []
     for step in range(depth):
-        action = names[found.eval(z3.Int(f"choice@{step}")).as_long()]
-        here, there = _state(model, step), _state(model, step + 1)
+        action = names[model_values.eval(z3.Int(f"choice@{step}")).as_long()]
+        state, next_state = _make_state(model, step), _make_state(model, step + 1)
         changes = []
         for name in model.sorts:
-            old = found.eval(getattr(here, name), model_completion=True)
-            new = found.eval(getattr(there, name), model_completion=True)
+            old = model_values.eval(getattr(state, name), model_completion=True)
+            new = model_values.eval(getattr(next_state, name), model_completion=True)
             if not old.eq(new):
                 text = new.as_decimal(3) if z3.is_rational_value(new) else str(new)
                 changes.append(f"{name}={text}")
@@ -113,7 +115,7 @@
     return steps
 
 
-def _guard(model: Model, dropped: str) -> Guard:
+def _make_guard(model: Model, dropped: str) -> Guard:
     def guard(name: str, condition: t.Any) -> t.Any:
         if name not in model.guards:
             raise KeyError(f"{model.name} does not list guard {name!r}")
@@ -122,7 +124,7 @@
     return guard
 
 
-def check(model: Model, dropped: str = "", depth: int = 0) -> Result:
+def find_violation(model: Model, dropped: str = "", depth: int = 0) -> CheckResult:
     """Search all traces from the shortest for one that violates a property.
 
     :param model: the transition system.
@@ -132,30 +134,32 @@
     :raises RuntimeError: if z3 gives up on a query.
     """
 
-    guard = _guard(model, dropped)
+    guard = _make_guard(model, dropped)
     solver = z3.Solver()
     solver.set("random_seed", 0)
-    here = _state(model, 0)
-    solver.add(*model.start(here))
+    state = _make_state(model, 0)
+    solver.add(*model.start(state))
     names: list[str] = []
     for step in range((depth or model.depth) + 1):
-        for name, holds in model.properties(here).items():
+        for name, holds in model.properties(state).items():
             answer = solver.check(z3.Not(holds))
             if answer == z3.sat:
-                steps = _trace(model, solver.model(), names, step)
-                return Result(name, tuple(steps), step)
+                steps = _format_trace(model, solver.model(), names, step)
+                return CheckResult(name, tuple(steps), step)
             if answer == z3.unknown:
                 raise RuntimeError(f"z3 gave up: {solver.reason_unknown()}")
-        there = _state(model, step + 1)
+        next_state = _make_state(model, step + 1)
         choice = z3.Int(f"choice@{step}")
-        constraints, actions = _transition(model, here, there, guard, choice)
+        constraints, actions = _build_transition(
+            model, state, next_state, guard, choice
+        )
         names = [action.name for action in actions]
         solver.add(*constraints)
-        here = there
-    return Result("", (), depth or model.depth)
+        state = next_state
+    return CheckResult("", (), depth or model.depth)
 
 
-def prove(model: Model, dropped: str = "") -> list[str]:
+def find_unproved_claims(model: Model, dropped: str = "") -> list[str]:
     """Check that the invariant of a model is inductive and implies its properties.
 
     Success covers traces of any length.
@@ -165,16 +169,18 @@
     :returns: what fails: ``start``, the name of a property, or the name of an action
         that breaks the invariant; empty if the proof succeeds.
     """
-    here, there = _state(model, 0), _state(model, 1)
-    invariant = z3.And(*model.invariant(here))
+    state, next_state = _make_state(model, 0), _make_state(model, 1)
+    invariant = z3.And(*model.invariant(state))
     choice = z3.Int("choice@0")
-    step, actions = _transition(model, here, there, _guard(model, dropped), choice)
-    claims = {"start": [*model.start(here), z3.Not(invariant)]}
-    for name, holds in model.properties(here).items():
+    step, actions = _build_transition(
+        model, state, next_state, _make_guard(model, dropped), choice
+    )
+    claims = {"start": [*model.start(state), z3.Not(invariant)]}
+    for name, holds in model.properties(state).items():
         claims[name] = [invariant, z3.Not(holds)]
-    broken = z3.Not(z3.And(*model.invariant(there)))
+    invariant_broken = z3.Not(z3.And(*model.invariant(next_state)))
     for i, action in enumerate(actions):
-        claims[action.name] = [invariant, *step, choice == i, broken]
+        claims[action.name] = [invariant, *step, choice == i, invariant_broken]
     failed = []
     for name, claim in claims.items():
         solver = z3.Solver()
--- a/src/cranberrywheel_spec/walk.py
+++ b/src/cranberrywheel_spec/model_execution.py
@@ -8,12 +8,12 @@
 
 import z3
 
-from cranberrywheel_spec.bounded import Action, Model, State
+from cranberrywheel_spec.model_checking import Action, Model, State
 
 Value = bool | int | fractions.Fraction
 #: Values by name; evaluation adds partial results that it may need again.
 Values = dict[str, Value]
-Evaluate = t.Callable[[Values], Value]
+Evaluator = t.Callable[[Values], Value]
 
 _OPERATORS: dict[int, t.Callable[..., Value]] = {
     z3.Z3_OP_TRUE: lambda: True,
@@ -38,7 +38,7 @@
     return z3.simplify(number).as_fraction()
 
 
-def _compile(expression: t.Any) -> Evaluate:
+def _compile(expression: t.Any) -> Evaluator:
     """Translate a z3 expression; evaluation by z3 itself takes milliseconds."""
     if not z3.is_expr(expression):
         return lambda values: expression
@@ -52,22 +52,24 @@
     if kind == z3.Z3_OP_UNINTERPRETED:
         name = expression.decl().name()
         return lambda values: values[name]
-    parts = [_compile(child) for child in expression.children()]
+    operands = [_compile(child) for child in expression.children()]
     if kind == z3.Z3_OP_AND:
-        return lambda values: all(part(values) for part in parts)
+        return lambda values: all(operand(values) for operand in operands)
     if kind == z3.Z3_OP_OR:
-        return lambda values: any(part(values) for part in parts)
+        return lambda values: any(operand(values) for operand in operands)
     if kind == z3.Z3_OP_ITE:
-        chosen, then, otherwise = parts
-        return lambda values: (then if chosen(values) else otherwise)(values)
-    apply = _OPERATORS[kind]
-    memo = f"value {expression.get_id()}"
+        condition, if_true, if_false = operands
+        return lambda values: (if_true if condition(values) else if_false)(values)
+    apply_operator = _OPERATORS[kind]
+    memo_key = f"value {expression.get_id()}"
 
     def evaluate(values: Values) -> Value:
         # All actions share the sums and conditions that advance the clocks.
-        if memo not in values:
-            values[memo] = apply(*(part(values) for part in parts))
-        return values[memo]
+        if memo_key not in values:
+            values[memo_key] = apply_operator(
+                *(operand(values) for operand in operands)
+            )
+        return values[memo_key]
 
     # z3 reuses the id of an expression that is not referenced any more.
     evaluate.expression = expression
@@ -89,11 +91,11 @@
         ]
         self.properties = _compile_all(model.properties(state))
         #: How often each action was taken, over all walks.
-        self.taken: collections.Counter[str] = collections.Counter()
+        self.taken_count_by_action: collections.Counter[str] = collections.Counter()
         self.start = [_compile(condition) for condition in model.start(state)]
 
 
-class Walk:
+class ModelExecution:
     """One trace through a model.
 
     :param model: the compiled model.
@@ -103,10 +105,10 @@
     def __init__(self, model: CompiledModel, **start: Value) -> None:
         self._model = model
         self.values: Values = model.zeros | start
-        if not all(holds(dict(self.values)) for holds in model.start):
+        if not all(is_satisfied(dict(self.values)) for is_satisfied in model.start):
             raise ValueError(f"not a first state of {model.name}: {start}")
 
-    def enabled(self, **inputs: Value) -> set[str]:
+    def find_enabled_actions(self, **inputs: Value) -> set[str]:
         """Return the names of the actions that are possible now.
 
         :param inputs: values of the model's inputs; absent ones are 0.
@@ -114,7 +116,7 @@
         values = self.values | self._model.inputs | inputs
         return {a.name for a in self._model.actions if a.condition(values)}
 
-    def take(self, name: str, **inputs: Value) -> None:
+    def take_action(self, name: str, **inputs: Value) -> None:
         """Take an action.
 
         :param name: of an action that is possible now.
@@ -123,17 +125,21 @@
             fails after it.
         """
         values = self.values | self._model.inputs | inputs
-        named = [a for a in self._model.actions if a.name == name]
-        if not named:
+        candidates = [a for a in self._model.actions if a.name == name]
+        if not candidates:
             raise KeyError(name)
-        possible = [a for a in named if a.condition(values)]
-        assert possible, f"the specification does not allow {name!r} now"
-        updates = possible[0].updates
-        self.values = self.values | {n: new(values) for n, new in updates.items()}
-        self._model.taken[name] += 1
-        for text, holds in self._model.properties.items():
-            assert holds(dict(self.values)), f"{text!r} fails after {name!r}"
-
-
-def _compile_all(expressions: dict[str, t.Any]) -> dict[str, Evaluate]:
+        enabled_actions = [a for a in candidates if a.condition(values)]
+        assert enabled_actions, f"the specification does not allow {name!r} now"
+        updates = enabled_actions[0].updates
+        self.values = self.values | {
+            n: evaluate_update(values) for n, evaluate_update in updates.items()
+        }
+        self._model.taken_count_by_action[name] += 1
+        for property_name, is_satisfied in self._model.properties.items():
+            assert is_satisfied(dict(self.values)), (
+                f"{property_name!r} fails after {name!r}"
+            )
+
+
+def _compile_all(expressions: dict[str, t.Any]) -> dict[str, Evaluator]:
     return {name: _compile(value) for name, value in expressions.items()}
--- a/src/cranberrywheel_spec/pool_conformance.py
+++ b/src/cranberrywheel_spec/pool_conformance.py
@@ -20,8 +20,8 @@
 from cranberrywheel.process.zone_record import ZoneRecord
 from cranberrywheel.version.configuration import parse_configuration
 from cranberrywheel_spec.conformance import ConformanceMachine
+from cranberrywheel_spec.model_execution import CompiledModel, ModelExecution
 from cranberrywheel_spec.pool_moves import PLANNERS, pool_moves
-from cranberrywheel_spec.walk import CompiledModel, Walk
 from cranberrywheel_standin.platform import Platform
 
 _MODEL = CompiledModel(pool_moves())
@@ -115,14 +115,14 @@
             p: _Planner(self.client, self.make_zone, int(p)) for p in PLANNERS
         }
         self.other = Disruptions(RecordStore(self.client, "other"))
-        self.walk = Walk(_MODEL)
+        self.execution = ModelExecution(_MODEL)
 
     @classmethod
     def model(cls) -> CompiledModel:
         """Return the model that this machine compares with."""
         return _MODEL
 
-    def options(self) -> dict[str, int]:
+    def list_step_weights(self) -> dict[str, int]:
         found = {"start_task": 1, "end_task": 3, "other_planner": 1}
         # Planner 2 takes over once planner 1 had the time for some steps.
         found["claim 1"] = 5
@@ -131,16 +131,16 @@
         weights |= {"write_empty": 3, "read_list": 1, "check_lease": 2}
         weights |= {"list_own": 2, "remove_own": 2}
         for p in PLANNERS:
-            if self.walk.values[f"leads_{p}"]:
+            if self.execution.values[f"leads_{p}"]:
                 found |= {f"{step} {p}": w for step, w in weights.items()}
                 found[f"claim {p}"] = 0
         return found
 
     def _can(self, name: str) -> bool:
-        return name in self.walk.enabled()
+        return name in self.execution.find_enabled_actions()
 
     def _check(self) -> None:
-        values = self.walk.values
+        values = self.execution.values
         assert self.client.drained == values["drained"]
         for p, planner in self.planners.items():
             if values[f"leads_{p}"]:
@@ -155,7 +155,7 @@
         name = f"planner {p} takes the lease and writes its fence"
         if self._can(name):
             self.planners[p].zone.claim(_CONFIGURATION, 0)
-            self.walk.take(name)
+            self.execution.take_action(name)
             self._check()
 
     def confirm(self, p: str) -> None:
@@ -163,24 +163,24 @@
         name = f"platform carries out the call of planner {p}"
         zone = self.planners[p].zone
         if (
-            not self.walk.values[f"leads_{p}"]
+            not self.execution.values[f"leads_{p}"]
             or zone.confirmation_age_ms(_OWN) is not None
         ):
             return
         if self._can(f"planner {p} repeats its call"):
-            self.walk.take(f"planner {p} repeats its call")
+            self.execution.take_action(f"planner {p} repeats its call")
         allowed = self._can(name)
         try:
             zone.confirm()
         except LeaseLostError:
             assert not allowed
         else:
-            self.walk.take(name)
+            self.execution.take_action(name)
         self._check()
 
     def drain(self, p: str) -> None:
         pool = self.rng.choice(["", "x"])
-        values, planner = self.walk.values, self.planners[p]
+        values, planner = self.execution.values, self.planners[p]
         stale = values[f"view_revision_{p}"] != values["revision"]
         ready = values[f"knows_listed_{p}"] and values[f"answered_{p}"]
         if values[f"leads_{p}"] and planner.row.state is InstanceState.SERVING:
@@ -189,13 +189,13 @@
 
     def recall(self, p: str) -> None:
         planner = self.planners[p]
-        if self.walk.values[f"leads_{p}"]:
+        if self.execution.values[f"leads_{p}"]:
             if planner.row.state is InstanceState.DRAINING:
                 self._write(p, instance_lifecycle.recall(planner.row, 0))
 
     def advance_own(self, p: str) -> None:
         """Ask the worker, then write the next state."""
-        planner, values = self.planners[p], self.walk.values
+        planner, values = self.planners[p], self.execution.values
         if not values[f"leads_{p}"] or planner.zone.confirmation_age_ms(_OWN) is None:
             return
         report = WorkerReport(running=int(values["running"]))
@@ -203,7 +203,7 @@
         if row is None:
             return
         if row.state is InstanceState.EMPTY:
-            self.walk.take(f"planner {p} gets a report without tasks")
+            self.execution.take_action(f"planner {p} gets a report without tasks")
             planner.empty_row = row
         elif planner.row.state is not InstanceState.SERVING:
             self._write(p, row)
@@ -216,7 +216,7 @@
 
     def _write(self, p: str, row: InstanceAssignment) -> None:
         """Write a row; the platform call that follows is lost."""
-        if not self.walk.values[f"in_force_{p}"]:
+        if not self.execution.values[f"in_force_{p}"]:
             return
         # A report counts only for the state in which it was asked for.
         self.planners[p].empty_row = None
@@ -232,7 +232,7 @@
             pass
         finally:
             self.client.lost = False
-        self.walk.take(name)
+        self.execution.take_action(name)
         if row.state is InstanceState.EMPTY:
             # The drain of the state before still holds.
             self.planners[p].zone.confirm()
@@ -242,12 +242,12 @@
         name = f"planner {p} reads disruptions"
         if self._can(name):
             self.planners[p].disruptions.read()
-            self.walk.take(name)
+            self.execution.take_action(name)
 
     def check_lease(self, p: str) -> None:
         name = f"planner {p} finds its lease valid"
         if self._can(name):
-            self.walk.take(name)
+            self.execution.take_action(name)
 
     def list_own(self, p: str) -> None:
         self._change_list(p, f"planner {p} lists the instance", {_OWN: "p"}, [])
@@ -259,7 +259,7 @@
     def _change_list(
         self, p: str, name: str, added: dict[str, str], removed: list[str]
     ) -> None:
-        values = self.walk.values
+        values = self.execution.values
         stale = values[f"list_view_{p}"] != values["list_revision"]
         if not self._can(name) and not (stale and values[f"leads_{p}"]):
             return
@@ -270,22 +270,22 @@
             assert stale, f"{name} was refused"
             return
         if self.client.get("disruptions") != before:
-            self.walk.take(name)
+            self.execution.take_action(name)
 
     def start_task(self) -> None:
         if not self.client.drained:
-            self.walk.take("entry starts a task")
+            self.execution.take_action("entry starts a task")
 
     def end_task(self) -> None:
         if self._can("task ends"):
-            self.walk.take("task ends")
+            self.execution.take_action("task ends")
 
     def other_planner(self) -> None:
         """The planner of the other zone acts at once, within the budget."""
         listed = {name for names in self.other.read().values() for name in names}
         if _OTHER in listed:
             self.other.change(_CONFIGURATION, {}, [_OTHER])
-            self.walk.take("other planner admits and removes")
+            self.execution.take_action("other planner admits and removes")
         elif not listed:
             self.other.change(_CONFIGURATION, {_OTHER: "p"})
-            self.walk.take("other planner lists and drains")
+            self.execution.take_action("other planner lists and drains")
--- a/src/cranberrywheel_spec/pool_moves.py
+++ b/src/cranberrywheel_spec/pool_moves.py
@@ -10,7 +10,7 @@
 
 import z3
 
-from cranberrywheel_spec.bounded import NEVER, Action, Guard, Model, State
+from cranberrywheel_spec.model_checking import NEVER, Action, Guard, Model, State
 
 PLANNERS = ("1", "2")
 SERVING, DRAINING, EMPTY, REBOOTING = range(4)
@@ -21,8 +21,8 @@
 _FLAGS = (
     "listed", "other_listed", "drained", "other_drained", "running", "disturbed",
     *(
-        f"{name}_{p}"
-        for p in PLANNERS
+        f"{name}_{planner}"
+        for planner in PLANNERS
         for name in (
             "leads", "in_force", "knows_listed", "list_own", "list_other",
             "lease_checked", "saw_empty", "answered",
@@ -32,8 +32,8 @@
 _NUMBERS = (
     "state", "pool", "fence", "revision", "platform_fence", "list_revision",
     *(
-        f"{name}_{p}"
-        for p in PLANNERS
+        f"{name}_{planner}"
+        for planner in PLANNERS
         for name in (
             "view_state", "view_revision", "list_view", "call",
         )
@@ -41,8 +41,8 @@
 )  # fmt: skip
 
 
-def _get(s: State, name: str, p: str) -> t.Any:
-    return getattr(s, f"{name}_{p}")
+def _get(s: State, name: str, planner: str) -> t.Any:
+    return getattr(s, f"{name}_{planner}")
 
 
 def _start(s: State) -> list[t.Any]:
@@ -51,176 +51,234 @@
     ]
 
 
-def _lead(s: State, p: str, guard: Guard) -> list[Action]:
+def _leadership_actions(s: State, planner: str, guard: Guard) -> list[Action]:
     """A new planner writes its fence, then repeats the recorded state."""
-    mine = int(p)
-    first = z3.Not(_get(s, "leads", "2")) if p == "1" else z3.BoolVal(True)
-    repeated = guard("new planner repeats the recorded state", NEVER)
+    own_fence = int(planner)
+    may_hold_lease = (
+        z3.Not(_get(s, "leads", "2")) if planner == "1" else z3.BoolVal(True)
+    )
+    skips_repeat = guard("new planner repeats the recorded state", NEVER)
     return [
         Action(
-            f"planner {p} takes the lease and writes its fence",
-            z3.And(z3.Not(_get(s, "leads", p)), first, s.fence < mine),
+            f"planner {planner} takes the lease and writes its fence",
+            z3.And(
+                z3.Not(_get(s, "leads", planner)), may_hold_lease, s.fence < own_fence
+            ),
             {
-                f"leads_{p}": True,
-                f"in_force_{p}": repeated,
-                f"answered_{p}": repeated,
-                "fence": mine,
+                f"leads_{planner}": True,
+                f"in_force_{planner}": skips_repeat,
+                f"answered_{planner}": skips_repeat,
+                "fence": own_fence,
                 "revision": s.revision + 1,
-                f"view_revision_{p}": s.revision + 1,
-                f"view_state_{p}": s.state,
-                f"call_{p}": z3.If(repeated, NO_CALL, _call_for(s.state)),
+                f"view_revision_{planner}": s.revision + 1,
+                f"view_state_{planner}": s.state,
+                f"call_{planner}": z3.If(
+                    skips_repeat, NO_CALL, _required_call(s.state)
+                ),
             },
         ),
         Action(
-            f"planner {p} reads disruptions",
-            _get(s, "leads", p),
+            f"planner {planner} reads disruptions",
+            _get(s, "leads", planner),
             {
-                f"list_view_{p}": s.list_revision,
-                f"list_own_{p}": s.listed,
-                f"list_other_{p}": s.other_listed,
-                f"lease_checked_{p}": False,
-                f"knows_listed_{p}": z3.Or(
-                    _get(s, "knows_listed", p),
+                f"list_view_{planner}": s.list_revision,
+                f"list_own_{planner}": s.listed,
+                f"list_other_{planner}": s.other_listed,
+                f"lease_checked_{planner}": False,
+                f"knows_listed_{planner}": z3.Or(
+                    _get(s, "knows_listed", planner),
                     z3.And(s.listed, guard("own write lists the instance", NEVER)),
                 ),
             },
         ),
         Action(
-            f"planner {p} finds its lease valid",
-            z3.And(_get(s, "leads", p), first),
-            {f"lease_checked_{p}": True},
+            f"planner {planner} finds its lease valid",
+            z3.And(_get(s, "leads", planner), may_hold_lease),
+            {f"lease_checked_{planner}": True},
         ),
         Action(
-            f"planner {p} repeats its call",
+            f"planner {planner} repeats its call",
             z3.And(
-                _get(s, "leads", p),
-                _get(s, "call", p) == NO_CALL,
-                z3.Not(_get(s, "answered", p)),
+                _get(s, "leads", planner),
+                _get(s, "call", planner) == NO_CALL,
+                z3.Not(_get(s, "answered", planner)),
             ),
-            {f"call_{p}": _call_for(_get(s, "view_state", p))},
+            {f"call_{planner}": _required_call(_get(s, "view_state", planner))},
         ),
     ]
 
 
-def _call_for(state: t.Any) -> t.Any:
+def _required_call(state: t.Any) -> t.Any:
     return z3.If(state == SERVING, UNDRAIN, z3.If(state == REBOOTING, REBOOT, DRAIN))
 
 
-def _write(s: State, p: str, guard: Guard, state: int, when: t.Any) -> Action:
+def _record_write_action(
+    s: State, planner: str, guard: Guard, state: int, condition: t.Any
+) -> Action:
     """Write the next state by compare-and-swap; the platform call follows it."""
-    same = _get(s, "view_revision", p) == s.revision
-    call = {SERVING: UNDRAIN, DRAINING: DRAIN, EMPTY: NO_CALL, REBOOTING: REBOOT}
+    revision_matches = _get(s, "view_revision", planner) == s.revision
+    call_by_state = {
+        SERVING: UNDRAIN,
+        DRAINING: DRAIN,
+        EMPTY: NO_CALL,
+        REBOOTING: REBOOT,
+    }
     names = ("serving", "draining", "empty", "rebooting")
-    disturbs = z3.And(s.running, z3.BoolVal(state in (SERVING, REBOOTING)))
-    moves = z3.And(z3.BoolVal(state == SERVING), _get(s, "view_state", p) == EMPTY)
+    may_disturb = z3.And(s.running, z3.BoolVal(state in (SERVING, REBOOTING)))
+    changes_pool = z3.And(
+        z3.BoolVal(state == SERVING), _get(s, "view_state", planner) == EMPTY
+    )
     return Action(
-        f"planner {p} writes {names[state]}",
+        f"planner {planner} writes {names[state]}",
         z3.And(
-            _get(s, "leads", p),
-            _get(s, "in_force", p),
-            guard("record write compares the revision", same),
-            when,
+            _get(s, "leads", planner),
+            _get(s, "in_force", planner),
+            guard("record write compares the revision", revision_matches),
+            condition,
         ),
         {
             "state": state,
-            "pool": z3.If(moves, 1 - s.pool, s.pool),
-            "disturbed": z3.Or(s.disturbed, z3.And(disturbs, moves)),
+            "pool": z3.If(changes_pool, 1 - s.pool, s.pool),
+            "disturbed": z3.Or(s.disturbed, z3.And(may_disturb, changes_pool)),
             "revision": s.revision + 1,
-            f"view_revision_{p}": s.revision + 1,
-            f"view_state_{p}": state,
-            f"call_{p}": call[state],
-            f"answered_{p}": z3.BoolVal(state == EMPTY),
-            f"saw_empty_{p}": False,
+            f"view_revision_{planner}": s.revision + 1,
+            f"view_state_{planner}": state,
+            f"call_{planner}": call_by_state[state],
+            f"answered_{planner}": z3.BoolVal(state == EMPTY),
+            f"saw_empty_{planner}": False,
         },
     )
 
 
-def _steps(s: State, p: str, guard: Guard) -> list[Action]:
-    view = _get(s, "view_state", p)
-    listed = guard("instance is listed before it drains", _get(s, "knows_listed", p))
-    answered = _get(s, "answered", p)
-    after = guard("report follows the answer to the drain", answered)
-    empty = guard("worker reports no task", z3.Not(s.running))
-    found = [
-        _write(s, p, guard, DRAINING, z3.And(view == SERVING, answered, listed)),
+def _lifecycle_actions(s: State, planner: str, guard: Guard) -> list[Action]:
+    view_state = _get(s, "view_state", planner)
+    is_listed = guard(
+        "instance is listed before it drains", _get(s, "knows_listed", planner)
+    )
+    answered = _get(s, "answered", planner)
+    report_is_current = guard("report follows the answer to the drain", answered)
+    reports_idle = guard("worker reports no task", z3.Not(s.running))
+    actions = [
+        _record_write_action(
+            s,
+            planner,
+            guard,
+            DRAINING,
+            z3.And(view_state == SERVING, answered, is_listed),
+        ),
         Action(
-            f"planner {p} gets a report without tasks",
-            z3.And(_get(s, "leads", p), view == DRAINING, after, empty),
-            {f"saw_empty_{p}": True},
+            f"planner {planner} gets a report without tasks",
+            z3.And(
+                _get(s, "leads", planner),
+                view_state == DRAINING,
+                report_is_current,
+                reports_idle,
+            ),
+            {f"saw_empty_{planner}": True},
+        ),
+        _record_write_action(
+            s,
+            planner,
+            guard,
+            EMPTY,
+            z3.And(view_state == DRAINING, _get(s, "saw_empty", planner)),
+        ),
+        _record_write_action(s, planner, guard, REBOOTING, view_state == EMPTY),
+        _record_write_action(
+            s,
+            planner,
+            guard,
+            SERVING,
+            z3.Or(view_state == EMPTY, view_state == DRAINING),
         ),
-        _write(s, p, guard, EMPTY, z3.And(view == DRAINING, _get(s, "saw_empty", p))),
-        _write(s, p, guard, REBOOTING, view == EMPTY),
-        _write(s, p, guard, SERVING, z3.Or(view == EMPTY, view == DRAINING)),
     ]
-    back = z3.And(view == REBOOTING, answered)
-    found.append(_write(s, p, guard, SERVING, back))
-    return found
+    after_reboot = z3.And(view_state == REBOOTING, answered)
+    actions.append(_record_write_action(s, planner, guard, SERVING, after_reboot))
+    return actions
 
 
-def _disruptions(s: State, p: str, guard: Guard) -> list[Action]:
+def _disruption_list_actions(s: State, planner: str, guard: Guard) -> list[Action]:
     revision = s.list_revision + 1
-    same = _get(s, "list_view", p) == s.list_revision
-    own, other = _get(s, "list_own", p), _get(s, "list_other", p)
-    checked = _get(s, "lease_checked", p)
+    revision_matches = _get(s, "list_view", planner) == s.list_revision
+    lists_own, lists_other = (
+        _get(s, "list_own", planner),
+        _get(s, "list_other", planner),
+    )
+    lease_checked = _get(s, "lease_checked", planner)
     may_write = z3.And(
-        _get(s, "leads", p),
-        guard("disruptions are compared and swapped", same),
-        guard("lease is checked after the list is read", checked),
-        _get(s, "view_state", p) == SERVING,
+        _get(s, "leads", planner),
+        guard("disruptions are compared and swapped", revision_matches),
+        guard("lease is checked after the list is read", lease_checked),
+        _get(s, "view_state", planner) == SERVING,
+    )
+    undrain_answered = guard(
+        "entry stays until the undrain is answered", _get(s, "answered", planner)
     )
-    served = guard("entry stays until the undrain is answered", _get(s, "answered", p))
-    view = {
-        "other_listed": other,
+    updates = {
+        "other_listed": lists_other,
         "list_revision": revision,
-        f"list_view_{p}": revision,
-        f"lease_checked_{p}": False,
+        f"list_view_{planner}": revision,
+        f"lease_checked_{planner}": False,
     }
     return [
         Action(
-            f"planner {p} lists the instance",
-            z3.And(may_write, z3.Not(own), guard("budget is checked", z3.Not(other))),
-            {"listed": True, f"list_own_{p}": True, f"knows_listed_{p}": True, **view},
+            f"planner {planner} lists the instance",
+            z3.And(
+                may_write,
+                z3.Not(lists_own),
+                guard("budget is checked", z3.Not(lists_other)),
+            ),
+            {
+                "listed": True,
+                f"list_own_{planner}": True,
+                f"knows_listed_{planner}": True,
+                **updates,
+            },
         ),
         Action(
-            f"planner {p} removes the instance from the list",
-            z3.And(may_write, own, _get(s, "in_force", p), served),
+            f"planner {planner} removes the instance from the list",
+            z3.And(
+                may_write, lists_own, _get(s, "in_force", planner), undrain_answered
+            ),
             {
                 "listed": False,
-                f"list_own_{p}": False,
-                f"knows_listed_{p}": False,
-                **view,
+                f"list_own_{planner}": False,
+                f"knows_listed_{planner}": False,
+                **updates,
             },
         ),
     ]
 
 
-def _platform(s: State, p: str, guard: Guard) -> list[Action]:
-    call, mine = _get(s, "call", p), int(p)
-    fenced = guard("platform compares the fence", s.platform_fence <= mine)
+def _platform_actions(s: State, planner: str, guard: Guard) -> list[Action]:
+    pending_call, own_fence = _get(s, "call", planner), int(planner)
+    fence_accepted = guard("platform compares the fence", s.platform_fence <= own_fence)
     return [
         Action(
-            f"platform carries out the call of planner {p}",
-            z3.And(call != NO_CALL, fenced),
+            f"platform carries out the call of planner {planner}",
+            z3.And(pending_call != NO_CALL, fence_accepted),
             {
                 "platform_fence": z3.If(
-                    s.platform_fence > mine, s.platform_fence, mine
+                    s.platform_fence > own_fence, s.platform_fence, own_fence
                 ),
-                "drained": call != UNDRAIN,
-                "disturbed": z3.Or(s.disturbed, z3.And(call == REBOOT, s.running)),
-                f"call_{p}": NO_CALL,
-                f"in_force_{p}": True,
-                f"answered_{p}": True,
+                "drained": pending_call != UNDRAIN,
+                "disturbed": z3.Or(
+                    s.disturbed, z3.And(pending_call == REBOOT, s.running)
+                ),
+                f"call_{planner}": NO_CALL,
+                f"in_force_{planner}": True,
+                f"answered_{planner}": True,
             },
         ),
         Action(
-            f"call of planner {p} is lost before the platform",
-            call != NO_CALL,
-            {f"call_{p}": NO_CALL},
+            f"call of planner {planner} is lost before the platform",
+            pending_call != NO_CALL,
+            {f"call_{planner}": NO_CALL},
         ),
     ]
 
 
-def _others(s: State, guard: Guard) -> list[Action]:
+def _environment_actions(s: State, guard: Guard) -> list[Action]:
     """Entries start tasks; the planner of the other zone drains its instance."""
     return [
         Action("entry starts a task", z3.Not(s.drained), {"running": True}),
@@ -247,11 +305,16 @@
 
 
 def _actions(s: State, guard: Guard) -> list[Action]:
-    found = _others(s, guard)
-    for p in PLANNERS:
-        for part in (_lead, _steps, _disruptions, _platform):
-            found += part(s, p, guard)
-    return found
+    actions = _environment_actions(s, guard)
+    for planner in PLANNERS:
+        for build_actions in (
+            _leadership_actions,
+            _lifecycle_actions,
+            _disruption_list_actions,
+            _platform_actions,
+        ):
+            actions += build_actions(s, planner, guard)
+    return actions
 
 
 def _properties(s: State) -> dict[str, t.Any]:
@@ -267,7 +330,10 @@
     :returns: the model; its properties say that no task runs at a pool change or
         reboot, and that instances of two zones are never drained beyond the budget.
     """
-    quiet, budget = "planned stops disturb no task", "drained instances fit the budget"
+    no_disturbance, within_budget = (
+        "planned stops disturb no task",
+        "drained instances fit the budget",
+    )
     return Model(
         name="pool moves",
         sorts={n: z3.IntSort() for n in _NUMBERS} | {n: z3.BoolSort() for n in _FLAGS},
@@ -276,17 +342,17 @@
         actions=_actions,
         properties=_properties,
         guards={
-            "new planner repeats the recorded state": quiet,
-            "record write compares the revision": quiet,
-            "instance is listed before it drains": budget,
-            "report follows the answer to the drain": quiet,
-            "worker reports no task": quiet,
-            "disruptions are compared and swapped": budget,
-            "budget is checked": budget,
-            "entry stays until the undrain is answered": budget,
-            "own write lists the instance": budget,
-            "lease is checked after the list is read": budget,
-            "platform compares the fence": quiet,
+            "new planner repeats the recorded state": no_disturbance,
+            "record write compares the revision": no_disturbance,
+            "instance is listed before it drains": within_budget,
+            "report follows the answer to the drain": no_disturbance,
+            "worker reports no task": no_disturbance,
+            "disruptions are compared and swapped": within_budget,
+            "budget is checked": within_budget,
+            "entry stays until the undrain is answered": within_budget,
+            "own write lists the instance": within_budget,
+            "lease is checked after the list is read": within_budget,
+            "platform compares the fence": no_disturbance,
         },
         depth=12,
     )
--- a/src/cranberrywheel_spec/ticket_conformance.py
+++ b/src/cranberrywheel_spec/ticket_conformance.py
@@ -6,6 +6,7 @@
 from cranberrywheel.request.ticket import Claim, ClaimState, TicketBook
 from cranberrywheel.settings import EntrySettings, PlatformSettings
 from cranberrywheel_spec.conformance import ConformanceMachine
+from cranberrywheel_spec.model_execution import CompiledModel, ModelExecution
 from cranberrywheel_spec.tickets import (
     EXPIRED,
     FINISHED,
@@ -14,7 +15,6 @@
     VOID,
     tickets,
 )
-from cranberrywheel_spec.walk import CompiledModel, Walk
 
 _SETTINGS = EntrySettings(
     instance="e1",
@@ -39,25 +39,25 @@
 class TicketMachine(ConformanceMachine):
     """One ticket: each call of the book must answer as the model allows."""
 
-    make_book: t.ClassVar[type[TicketBook]] = TicketBook
+    make_registry: t.ClassVar[type[TicketBook]] = TicketBook
     #: Whether to hand over after the retention of the ticket has passed.
-    late_hand_over: t.ClassVar[bool] = False
+    late_handover: t.ClassVar[bool] = False
 
     def __init__(self) -> None:
         super().__init__()
         self.now_ms = 0
-        self.owner = self.make_book("z1.e1.0", _SETTINGS, b"secret")
-        self.peer = self.make_book("z1.e2.0", _SETTINGS, b"other")
+        self.owner = self.make_registry("z1.e1.0", _SETTINGS, b"secret")
+        self.peer = self.make_registry("z1.e2.0", _SETTINGS, b"other")
         self.ticket = self.owner.issue("t", "q", 0)
-        self.walk = Walk(_MODEL)
+        self.execution = ModelExecution(_MODEL)
 
     @classmethod
     def model(cls) -> CompiledModel:
         """Return the model that this machine compares with."""
         return _MODEL
 
-    def options(self) -> dict[str, int]:
-        values = self.walk.values
+    def list_step_weights(self) -> dict[str, int]:
+        values = self.execution.values
         late = values["age"] == PAST_RETENTION
         possible = {
             "send_start": self._can("owner sends the start"),
@@ -67,7 +67,7 @@
             "give_up": self._can("owner gives up waiting"),
             "expire_ticket": values["age"] == VALID,
             "pass_retention": values["age"] == EXPIRED,
-            "hand_over": not values["exported"] and (self.late_hand_over or not late),
+            "hand_over": not values["exported"] and (self.late_handover or not late),
         }
         always = {"call": 3, "query": 1, "query_peer": 1, "clean_up": 1}
         likely = ("send_start", "worker_starts", "answer")
@@ -76,21 +76,21 @@
         }
 
     def _can(self, name: str) -> bool:
-        return name in self.walk.enabled()
+        return name in self.execution.find_enabled_actions()
 
     def _check_not_run(self, claim: Claim, *actions: str) -> None:
         """``not-run`` is answered exactly when one of the actions is possible."""
         possible = [name for name in actions if self._can(name)]
         assert (claim.state is ClaimState.NOT_RUN) == bool(possible), claim
         if possible:
-            self.walk.take(possible[0])
+            self.execution.take_action(possible[0])
 
     def call(self) -> None:
         accepts = self._can(_ACCEPTS)
         claim = self.owner.claim(self.ticket, "t", "q", self.now_ms)
         assert (claim.state is ClaimState.NEW) == accepts, claim
         if accepts:
-            self.walk.take(_ACCEPTS)
+            self.execution.take_action(_ACCEPTS)
         else:
             self._check_not_run(claim, _REFUSES, _REFUSES_EXPORTED)
             self._check_state(claim)
@@ -101,58 +101,58 @@
         self._check_state(claim)
 
     def _check_state(self, claim: Claim) -> None:
-        finished = self.walk.values["record"] == FINISHED
+        finished = self.execution.values["record"] == FINISHED
         assert (claim.state is ClaimState.FINISHED) == finished, claim
 
     def send_start(self) -> None:
         self.owner.started(self.ticket)
-        self.walk.take("owner sends the start")
+        self.execution.take_action("owner sends the start")
 
     def worker_starts(self) -> None:
-        self.walk.take("worker starts the task")
+        self.execution.take_action("worker starts the task")
 
     def worker_refuses(self) -> None:
         self.owner.release(self.ticket, self.now_ms)
-        self.walk.take(_RELEASES)
+        self.execution.take_action(_RELEASES)
 
     def answer(self) -> None:
         outcome = self.rng.choice([Outcome.OK, Outcome.FAILED])
         self.owner.finish(self.ticket, _answer(outcome), self.now_ms)
-        self.walk.take("owner gets the answer")
+        self.execution.take_action("owner gets the answer")
 
     def give_up(self) -> None:
         self.owner.finish(self.ticket, _answer(Outcome.UNKNOWN), self.now_ms)
-        self.walk.take("owner gives up waiting")
+        self.execution.take_action("owner gives up waiting")
 
     def expire_ticket(self) -> None:
         self.now_ms = _SETTINGS.ticket_lifetime_ms
-        self.walk.take("ticket expires")
+        self.execution.take_action("ticket expires")
 
     def pass_retention(self) -> None:
         self.now_ms += _SETTINGS.ticket_retention_ms
-        self.walk.take("retention passes")
+        self.execution.take_action("retention passes")
 
     def clean_up(self) -> None:
         """The book may drop a record when the model may."""
         self.owner.expire(self.now_ms)
-        record = self.walk.values["record"]
-        if record == VOID and self.walk.values["age"] != VALID:
-            self.walk.take("owner drops a void record")
+        record = self.execution.values["record"]
+        if record == VOID and self.execution.values["age"] != VALID:
+            self.execution.take_action("owner drops a void record")
         elif record == FINISHED:
             claim = self.owner.query(self.ticket, self.now_ms)
             if claim.state is not ClaimState.FINISHED:
                 assert claim.state is ClaimState.UNKNOWN, claim
-                self.walk.take("owner drops the record")
+                self.execution.take_action("owner drops the record")
 
     def hand_over(self) -> None:
         export = self.owner.export_results(self.now_ms)
         self.peer.import_results("z1.e1.0", export)
-        self.walk.take("owner exports")
-        self.walk.take("peer takes over")
+        self.execution.take_action("owner exports")
+        self.execution.take_action("peer takes over")
 
     def query_peer(self) -> None:
         claim = self.peer.query(self.ticket, 0)
-        if not self.walk.values["handed_over"]:
+        if not self.execution.values["handed_over"]:
             assert claim.state is ClaimState.UNKNOWN, claim
         else:
             self._check_not_run(claim, _PEER_REFUSES)
--- a/src/cranberrywheel_spec/tickets.py
+++ b/src/cranberrywheel_spec/tickets.py
@@ -9,7 +9,7 @@
 
 import z3
 
-from cranberrywheel_spec.bounded import NEVER, Action, Guard, Model, State
+from cranberrywheel_spec.model_checking import NEVER, Action, Guard, Model, State
 
 VALID, EXPIRED, PAST_RETENTION = range(3)
 NONE, CLAIMED, STARTED, FINISHED, VOID = range(5)
@@ -29,24 +29,26 @@
     ]
 
 
-def _calls(s: State, guard: Guard) -> list[Action]:
+def _call_actions(s: State, guard: Guard) -> list[Action]:
     """What the owner does with calls and queries, which can arrive at any time."""
     alive = z3.Not(s.owner_gone)
     unclaimed = z3.And(s.record == NONE, s.age == VALID)
     # Past retention, a missing record may have been dropped.
-    forgotten = guard("no record past retention is unknown", NEVER)
-    retained = z3.Or(s.age == EXPIRED, z3.And(s.age == PAST_RETENTION, forgotten))
+    assumes_unclaimed = guard("no record past retention is unknown", NEVER)
+    retained = z3.Or(
+        s.age == EXPIRED, z3.And(s.age == PAST_RETENTION, assumes_unclaimed)
+    )
     not_run = z3.Or(s.record == VOID, z3.And(s.record == NONE, retained))
     may_start = guard("expired ticket cannot start", s.age == VALID)
     open_call = z3.Or(s.record == CLAIMED, s.record == STARTED)
-    reclaim = z3.And(open_call, guard("one claim at a time", NEVER))
+    claims_again = z3.And(open_call, guard("one claim at a time", NEVER))
     return [
         Action(
             "owner accepts a call",
             z3.And(
                 alive,
                 guard("exported book starts nothing", z3.Not(s.exported)),
-                z3.Or(z3.And(s.record == NONE, may_start), reclaim),
+                z3.Or(z3.And(s.record == NONE, may_start), claims_again),
             ),
             {"record": CLAIMED},
         ),
@@ -71,9 +73,9 @@
     ]
 
 
-def _run(s: State, guard: Guard) -> list[Action]:
+def _run_actions(s: State, guard: Guard) -> list[Action]:
     alive = z3.Not(s.owner_gone)
-    unsure = guard("release needs a refusal by the worker", NEVER)
+    releases_unrefused = guard("release needs a refusal by the worker", NEVER)
     return [
         Action(
             "owner sends the start",
@@ -85,8 +87,8 @@
         ),
         Action(
             "worker refuses the start and owner releases",
-            z3.And(alive, s.record == STARTED, z3.Or(s.sent, unsure)),
-            {"record": NONE, "sent": z3.And(s.sent, unsure)},
+            z3.And(alive, s.record == STARTED, z3.Or(s.sent, releases_unrefused)),
+            {"record": NONE, "sent": z3.And(s.sent, releases_unrefused)},
         ),
         Action(
             "owner gets the answer",
@@ -102,10 +104,12 @@
     ]
 
 
-def _time(s: State, guard: Guard) -> list[Action]:
+def _expiry_actions(s: State, guard: Guard) -> list[Action]:
     running = z3.Or(s.record == CLAIMED, s.record == STARTED)
-    finished = z3.And(s.record == FINISHED, guard("finished record is kept", NEVER))
-    forgotten = z3.And(running, guard("running record is kept", NEVER))
+    drops_finished = z3.And(
+        s.record == FINISHED, guard("finished record is kept", NEVER)
+    )
+    drops_running = z3.And(running, guard("running record is kept", NEVER))
     return [
         Action("ticket expires", s.age == VALID, {"age": EXPIRED}),
         Action("retention passes", s.age == EXPIRED, {"age": PAST_RETENTION}),
@@ -118,27 +122,27 @@
             "owner drops the record",
             z3.Or(
                 z3.And(s.record == FINISHED, s.age == PAST_RETENTION),
-                z3.And(z3.Or(finished, forgotten), s.age == EXPIRED),
+                z3.And(z3.Or(drops_finished, drops_running), s.age == EXPIRED),
             ),
             {"record": NONE},
         ),
     ]
 
 
-def _hand_over(s: State, guard: Guard) -> list[Action]:
+def _handover_actions(s: State, guard: Guard) -> list[Action]:
     """The peer answers for the owner after the owner's complete export."""
     open_call = z3.Or(s.record == CLAIMED, s.record == STARTED)
-    omitted = guard("export lists open calls as unknown", NEVER)
+    omits_open_calls = guard("export lists open calls as unknown", NEVER)
     listed = z3.If(
         s.record == FINISHED,
         ANSWER,
-        z3.If(z3.And(open_call, z3.Not(omitted)), UNKNOWN, UNLISTED),
+        z3.If(z3.And(open_call, z3.Not(omits_open_calls)), UNKNOWN, UNLISTED),
     )
-    recent = guard(
+    within_retention = guard(
         "peer answers not-run only for tickets retained at the export",
         z3.Not(s.exported_past_retention),
     )
-    others = guard("peer answers only after a hand-over", s.handed_over)
+    has_handover = guard("peer answers only after a hand-over", s.handed_over)
     return [
         Action(
             "owner exports",
@@ -156,14 +160,23 @@
         ),
         Action(
             "peer answers not-run",
-            z3.And(others, s.listed == UNLISTED, recent),
+            z3.And(has_handover, s.listed == UNLISTED, within_retention),
             {"said_not_run": True},
         ),
     ]
 
 
 def _actions(s: State, guard: Guard) -> list[Action]:
-    return [a for part in (_calls, _run, _time, _hand_over) for a in part(s, guard)]
+    return [
+        a
+        for build_actions in (
+            _call_actions,
+            _run_actions,
+            _expiry_actions,
+            _handover_actions,
+        )
+        for a in build_actions(s, guard)
+    ]
 
 
 def _properties(s: State) -> dict[str, t.Any]:
@@ -175,9 +188,9 @@
 
 def _invariant(s: State) -> list[t.Any]:
     """Inductive: implies the properties in every reachable state."""
-    done = z3.And(s.starts == 0, z3.Not(s.sent))
-    never = z3.And(done, z3.Or(s.record == NONE, s.record == VOID))
-    closed = z3.Or(s.record == VOID, s.age != VALID, s.exported)
+    never_started = z3.And(s.starts == 0, z3.Not(s.sent))
+    never_claimed = z3.And(never_started, z3.Or(s.record == NONE, s.record == VOID))
+    cannot_start = z3.Or(s.record == VOID, s.age != VALID, s.exported)
     return [
         z3.And(s.age >= VALID, s.age <= PAST_RETENTION),
         z3.And(s.record >= NONE, s.record <= VOID),
@@ -185,14 +198,14 @@
         z3.Implies(s.sent, z3.And(s.starts == 0, s.record != CLAIMED)),
         z3.Implies(s.sent, s.record != VOID),
         z3.Implies(z3.And(s.sent, s.record == NONE), z3.And(s.age == PAST_RETENTION)),
-        z3.Implies(s.record == CLAIMED, done),
-        z3.Implies(s.record == VOID, done),
-        z3.Implies(z3.And(s.record == NONE, s.age != PAST_RETENTION), done),
-        z3.Implies(s.said_not_run, z3.And(never, closed)),
+        z3.Implies(s.record == CLAIMED, never_started),
+        z3.Implies(s.record == VOID, never_started),
+        z3.Implies(z3.And(s.record == NONE, s.age != PAST_RETENTION), never_started),
+        z3.Implies(s.said_not_run, z3.And(never_claimed, cannot_start)),
         z3.Implies(s.handed_over, s.exported),
         z3.Implies(
             z3.And(s.exported, s.listed == UNLISTED, z3.Not(s.exported_past_retention)),
-            z3.And(never, closed),
+            z3.And(never_claimed, cannot_start),
         ),
     ]
 
@@ -203,7 +216,7 @@
     :returns: the model; its properties say that a ticket starts at most once and that
         ``not-run`` is true, also later.
     """
-    once, true = "at most once", "not-run is true"
+    starts_once, is_truthful = "at most once", "not-run is true"
     return Model(
         name="tickets",
         sorts={n: z3.IntSort() for n in _NUMBERS} | {n: z3.BoolSort() for n in _FLAGS},
@@ -212,18 +225,18 @@
         actions=_actions,
         properties=_properties,
         guards={
-            "one claim at a time": once,
-            "expired ticket cannot start": true,
-            "no record past retention is unknown": true,
-            "query voids the ticket": true,
-            "void lasts until expiry": true,
-            "release needs a refusal by the worker": true,
-            "running record is kept": true,
-            "finished record is kept": true,
-            "exported book starts nothing": true,
-            "export lists open calls as unknown": true,
-            "peer answers only after a hand-over": true,
-            "peer answers not-run only for tickets retained at the export": true,
+            "one claim at a time": starts_once,
+            "expired ticket cannot start": is_truthful,
+            "no record past retention is unknown": is_truthful,
+            "query voids the ticket": is_truthful,
+            "void lasts until expiry": is_truthful,
+            "release needs a refusal by the worker": is_truthful,
+            "running record is kept": is_truthful,
+            "finished record is kept": is_truthful,
+            "exported book starts nothing": is_truthful,
+            "export lists open calls as unknown": is_truthful,
+            "peer answers only after a hand-over": is_truthful,
+            "peer answers not-run only for tickets retained at the export": is_truthful,
         },
         depth=10,
         invariant=_invariant,
--- a/src/cranberrywheel_spec/unit_times.py
+++ b/src/cranberrywheel_spec/unit_times.py
@@ -11,7 +11,7 @@
 
 import z3
 
-from cranberrywheel_spec.bounded import NEVER, Action, Guard, Model, State
+from cranberrywheel_spec.model_checking import NEVER, Action, Guard, Model, State
 
 # Two clocks differ by at most (1 + e) / (1 - e), which is below 1.01.
 CLOCK_ERROR = z3.Q(49, 10_000)
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Hold:
+class UnitKind:
     """Times of one kind of unit.
 
     :param name: of the kind.
@@ -36,11 +36,13 @@
 
 # The store's clock ends the registration while the holder's clock ends the hold; the
 # last term covers their difference over the short hold.
-SHORT = Hold(
+SHORT = UnitKind(
     "short", SHORT_HOLD_S, (TOKEN_S + TASK_S) * MARGIN + z3.Q(SHORT_HOLD_S, 100)
 )
-SHORT_AS_DESIGNED = Hold("short, designed", SHORT_HOLD_S, (TOKEN_S + TASK_S) * MARGIN)
-LONG = Hold("long", LONG_HOLD_S, (LONG_HOLD_S + TOKEN_S + TASK_S) * MARGIN)
+SHORT_AS_DESIGNED = UnitKind(
+    "short, designed", SHORT_HOLD_S, (TOKEN_S + TASK_S) * MARGIN
+)
+LONG = UnitKind("long", LONG_HOLD_S, (LONG_HOLD_S + TOKEN_S + TASK_S) * MARGIN)
 
 _TIMES = (
     *CLOCKS, "lease_end_s", "valid_from_s", "sent_s", "token_s", "task_end_s",
@@ -56,17 +58,17 @@
 
 
 def _start(s: State) -> list[t.Any]:
-    true = ("registered", "knows_unit")
+    initially_true = ("registered", "knows_unit")
     return [
         *(getattr(s, n) == 0 for n in _TIMES if n != "lease_end_s"),
-        *(getattr(s, n) == z3.BoolVal(n in true) for n in _FLAGS),
+        *(getattr(s, n) == z3.BoolVal(n in initially_true) for n in _FLAGS),
         s.lease_end_s == TTL_S,
         *(getattr(s, n) == 0 for n in _REVISIONS),
     ]
 
 
-def _renewals(s: State, guard: Guard) -> list[Action]:
-    late = guard("hold counts from the start of the renewal", NEVER)
+def _renewal_actions(s: State, guard: Guard) -> list[Action]:
+    counts_from_answer = guard("hold counts from the start of the renewal", NEVER)
     alive = z3.Not(s.dead)
     return [
         Action(
@@ -82,7 +84,10 @@
         Action(
             "holder gets answer to renewal",
             z3.And(alive, s.renewing, s.renewed),
-            {"renewing": False, "valid_from_s": z3.If(late, s.holder_s, s.sent_s)},
+            {
+                "renewing": False,
+                "valid_from_s": z3.If(counts_from_answer, s.holder_s, s.sent_s),
+            },
         ),
         Action("answer to renewal is lost", s.renewing, {"renewing": False}),
         Action(
@@ -94,7 +99,7 @@
     ]
 
 
-def _rejoin(s: State, guard: Guard) -> list[Action]:
+def _rejoin_actions(s: State, guard: Guard) -> list[Action]:
     alive = z3.Not(s.dead)
     return [
         Action(
@@ -127,9 +132,9 @@
     ]
 
 
-def _tasks(s: State, hold: Hold, guard: Guard) -> list[Action]:
-    valid = z3.And(s.knows_unit, s.holder_s - s.valid_from_s < hold.hold_s)
-    early = guard("check follows token", NEVER)
+def _task_actions(s: State, unit_kind: UnitKind, guard: Guard) -> list[Action]:
+    unit_is_valid = z3.And(s.knows_unit, s.holder_s - s.valid_from_s < unit_kind.hold_s)
+    skips_order = guard("check follows token", NEVER)
     return [
         Action(
             "holder gets token",
@@ -137,15 +142,15 @@
             {
                 "has_token": True,
                 "token_s": s.worker_s,
-                "checked": z3.And(s.checked, early),
+                "checked": z3.And(s.checked, skips_order),
             },
         ),
         Action(
             "holder checks unit and sends start",
             z3.And(
                 z3.Not(s.dead),
-                z3.Or(s.has_token, early),
-                guard("unit is valid at the check", valid),
+                z3.Or(s.has_token, skips_order),
+                guard("unit is valid at the check", unit_is_valid),
             ),
             {"checked": True},
         ),
@@ -161,11 +166,15 @@
     ]
 
 
-def _observations(s: State, guard: Guard) -> list[Action]:
-    same = guard("absence is of one registration", s.seen_entry == s.read_entry)
-    since_s = z3.If(z3.And(s.missing_seen, same), s.missing_since_s, s.reclaimer_s)
-    owned = guard("address is given to one machine", s.dead)
-    unordered = guard("record is read before registrations", NEVER)
+def _observation_actions(s: State, guard: Guard) -> list[Action]:
+    same_registration = guard(
+        "absence is of one registration", s.seen_entry == s.read_entry
+    )
+    since_s = z3.If(
+        z3.And(s.missing_seen, same_registration), s.missing_since_s, s.reclaimer_s
+    )
+    may_reuse = guard("address is given to one machine", s.dead)
+    skips_order = guard("record is read before registrations", NEVER)
     return [
         Action(
             "reclaimer reads the record",
@@ -174,7 +183,7 @@
                 "record_read": True,
                 "read_revision": s.revision,
                 "read_entry": s.entry,
-                "seen_after_read": z3.And(s.seen_after_read, unordered),
+                "seen_after_read": z3.And(s.seen_after_read, skips_order),
             },
         ),
         Action(
@@ -194,7 +203,7 @@
         ),
         Action(
             "new process takes the address",
-            z3.And(owned, z3.Not(s.reused)),
+            z3.And(may_reuse, z3.Not(s.reused)),
             {"reused": True},
         ),
         Action(
@@ -205,14 +214,14 @@
     ]
 
 
-def _reclaim(s: State, hold: Hold, guard: Guard) -> list[Action]:
+def _reclaim_actions(s: State, unit_kind: UnitKind, guard: Guard) -> list[Action]:
     missing_s = s.reclaimer_s - s.missing_since_s
     reuse_s = s.reclaimer_s - s.reuse_since_s
-    due = z3.Or(
+    is_due = z3.Or(
         z3.And(
             s.seen_after_read,
             s.missing_seen,
-            guard("reclaim waits", missing_s >= hold.wait_s),
+            guard("reclaim waits", missing_s >= unit_kind.wait_s),
         ),
         z3.And(
             s.reuse_seen,
@@ -224,7 +233,7 @@
             "reclaimer writes the record",
             z3.And(
                 s.record_read,
-                due,
+                is_due,
                 z3.Not(s.reclaimed),
                 guard("reclaim compares the revision", s.read_revision == s.revision),
             ),
@@ -233,7 +242,7 @@
     ]
 
 
-def _advance(s: State) -> tuple[State, t.Any, dict[str, t.Any]]:
+def _advance_clocks(s: State) -> tuple[State, t.Any, dict[str, t.Any]]:
     """Let time pass before an action: the clocks move at slightly different rates."""
     clocks = {name: getattr(s, name) + getattr(s, f"{name}_gain") for name in CLOCKS}
     allowed = [s.passed_s >= 0]
@@ -244,7 +253,7 @@
     return State(**(vars(s) | clocks)), z3.And(*allowed), clocks
 
 
-def unit_times(hold: Hold) -> Model:
+def unit_times(unit_kind: UnitKind) -> Model:
     """Build the model for one kind of unit.
 
     :param hold: times of the kind.
@@ -253,20 +262,20 @@
     """
 
     def actions(s: State, guard: Guard) -> list[Action]:
-        later, allowed, clocks = _advance(s)
-        found = [
-            *_renewals(later, guard),
-            *_rejoin(later, guard),
-            *_tasks(later, hold, guard),
-            *_observations(later, guard),
-            *_reclaim(later, hold, guard),
+        later_state, allowed, clocks = _advance_clocks(s)
+        actions_at_later_time = [
+            *_renewal_actions(later_state, guard),
+            *_rejoin_actions(later_state, guard),
+            *_task_actions(later_state, unit_kind, guard),
+            *_observation_actions(later_state, guard),
+            *_reclaim_actions(later_state, unit_kind, guard),
         ]
         return [
             Action(a.name, z3.And(allowed, a.condition), clocks | a.updates)
-            for a in found
+            for a in actions_at_later_time
         ]
 
-    free = "unit has one user"
+    single_user = "unit has one user"
     names = (
         "hold counts from the start of the renewal",
         "rejoin rewrites the record",
@@ -281,7 +290,7 @@
         "reclaim compares the revision",
     )
     return Model(
-        name=f"unit times, {hold.name}",
+        name=f"unit times, {unit_kind.name}",
         sorts={n: z3.RealSort() for n in _TIMES}
         | {n: z3.BoolSort() for n in _FLAGS}
         | {n: z3.IntSort() for n in _REVISIONS},
@@ -289,8 +298,8 @@
         start=_start,
         actions=actions,
         properties=lambda s: {
-            free: z3.Not(z3.And(s.reclaimed, s.worker_s < s.task_end_s))
+            single_user: z3.Not(z3.And(s.reclaimed, s.worker_s < s.task_end_s))
         },
-        guards=dict.fromkeys(names, free),
+        guards=dict.fromkeys(names, single_user),
         depth=12,
     )
--- a/src/cranberrywheel_spec/hold_conformance.py
+++ b/src/cranberrywheel_spec/unit_times_conformance.py
@@ -10,19 +10,25 @@
 from cranberrywheel.process.membership import MissingHolders, Registration
 from cranberrywheel.settings import LimitSettings
 from cranberrywheel_spec.conformance import ConformanceMachine
+from cranberrywheel_spec.model_execution import (
+    CompiledModel,
+    ModelExecution,
+    as_fraction,
+)
 from cranberrywheel_spec.unit_times import (
     CLOCKS,
     LONG,
     SHORT,
     TOKEN_S,
     TTL_S,
-    Hold,
+    UnitKind,
     unit_times,
 )
-from cranberrywheel_spec.walk import CompiledModel, Walk, as_fraction
 
 _HOLDER, _TEAM, _REQUEST = "z1.e1.0", "t", "r"
-_MODELS = {hold.name: CompiledModel(unit_times(hold)) for hold in (SHORT, LONG)}
+_MODELS = {
+    unit_kind.name: CompiledModel(unit_times(unit_kind)) for unit_kind in (SHORT, LONG)
+}
 _SETTINGS = LimitSettings()
 #: Where a step ends: after a short time, or at a bound of the protocol (a clock, the
 #: time from which it counts and how long), or up to a millisecond off it.
@@ -40,7 +46,7 @@
 }
 
 
-def _inputs(
+def _build_inputs(
     passed_ms: int, rates: tuple[int, ...] = (0,) * len(CLOCKS)
 ) -> dict[str, fractions.Fraction]:
     inputs = {"passed_s": fractions.Fraction(passed_ms, 1000)}
@@ -51,21 +57,26 @@
     return inputs
 
 
-class HoldMachine(ConformanceMachine):
+class UnitTimesMachine(ConformanceMachine):
     """One unit: the product must use and reclaim it exactly when the model may."""
 
-    hold: t.ClassVar[Hold] = SHORT
+    unit_kind: t.ClassVar[UnitKind] = SHORT
     make_ledger: t.ClassVar[type[UnitLedger]] = UnitLedger
     make_missing: t.ClassVar[type[MissingHolders]] = MissingHolders
     reclaim: t.ClassVar = staticmethod(limit_units.reclaim)
 
     def __init__(self) -> None:
         super().__init__()
-        self.walk = Walk(
+        self.execution = ModelExecution(
             self.model(), registered=True, knows_unit=True, lease_end_s=TTL_S
         )
-        self.own = Registration(_HOLDER, "e1", "z1", "1.1.1.1:1", "1.1.1.1:2", 1)
-        units = {"long": int(self.hold is LONG), "short": int(self.hold is SHORT)}
+        self.registration = Registration(
+            _HOLDER, "e1", "z1", "1.1.1.1:1", "1.1.1.1:2", 1
+        )
+        units = {
+            "long": int(self.unit_kind is LONG),
+            "short": int(self.unit_kind is SHORT),
+        }
         row = HolderRow(
             registration=1, instance="e1", zone="z1", address="1.1.1.1:2", **units
         )
@@ -82,81 +93,83 @@
     @classmethod
     def model(cls) -> CompiledModel:
         """Return the model that this machine compares with."""
-        return _MODELS[cls.hold.name]
+        return _MODELS[cls.unit_kind.name]
 
     def _now_ms(self, clock: str) -> int:
-        return int(self.walk.values[clock] * 1000)
+        return int(self.execution.values[clock] * 1000)
 
-    def _bounds(self) -> list[tuple[str, str, t.Any]]:
+    def _list_time_bounds(self) -> list[tuple[str, str, t.Any]]:
         """Return clock, start and length of the times that the protocol compares."""
         return [
-            ("holder_s", "valid_from_s", self.hold.hold_s),
+            ("holder_s", "valid_from_s", self.unit_kind.hold_s),
             ("store_s", "lease_end_s", 0),
             ("worker_s", "token_s", TOKEN_S),
-            ("reclaimer_s", "missing_since_s", as_fraction(self.hold.wait_s)),
+            ("reclaimer_s", "missing_since_s", as_fraction(self.unit_kind.wait_s)),
             ("reclaimer_s", "reuse_since_s", fractions.Fraction(12_120, 1000)),
         ]
 
-    def _left_ms(self, number: int) -> int:
-        clock, start, length = self._bounds()[number]
-        values = self.walk.values
+    def _compute_remaining_ms(self, number: int) -> int:
+        clock, start, length = self._list_time_bounds()[number]
+        values = self.execution.values
         return int((values[start] + length - values[clock]) * 1000)
 
-    def options(self) -> dict[str, int]:
-        return {"step_shortly": 6, "step_to_bound": 3, "lapse": 1}
+    def list_step_weights(self) -> dict[str, int]:
+        return {"step_shortly": 6, "step_to_bound": 3, "expire_registration": 1}
 
     def step_shortly(self) -> None:
         """Take any step after a short time, with clocks that run differently."""
         rates = tuple(self.rng.choice((-48, 0, 48)) for _ in CLOCKS)
-        self._step(_inputs(self.rng.choice(_SHORT_MS), rates))
+        self._take_random_action(_build_inputs(self.rng.choice(_SHORT_MS), rates))
 
     def step_to_bound(self) -> None:
         """Take any step about when a bound of the protocol is reached."""
-        left_ms = self._left_ms(self.rng.randrange(5)) + self.rng.choice(_OFFSETS_MS)
-        self._step(_inputs(max(0, left_ms)))
+        remaining_ms = self._compute_remaining_ms(
+            self.rng.randrange(5)
+        ) + self.rng.choice(_OFFSETS_MS)
+        self._take_random_action(_build_inputs(max(0, remaining_ms)))
 
-    def lapse(self) -> None:
+    def expire_registration(self) -> None:
         """Lose the registration, also when it was entered again just before."""
-        self._take("holder registers again", _inputs(0))
-        self._take("holder rewrites the record", _inputs(0))
-        self._take("store ends lease", _inputs(TTL_S * 1000))
-        self._take("reclaimer reads the record", _inputs(0))
-        self._take("reclaimer sees registration missing", _inputs(0))
-
-    def _step(self, inputs: dict[str, fractions.Fraction]) -> None:
-        names = sorted(self.walk.enabled(**inputs))
+        self._take_action("holder registers again", _build_inputs(0))
+        self._take_action("holder rewrites the record", _build_inputs(0))
+        self._take_action("store ends lease", _build_inputs(TTL_S * 1000))
+        self._take_action("reclaimer reads the record", _build_inputs(0))
+        self._take_action("reclaimer sees registration missing", _build_inputs(0))
+
+    def _take_random_action(self, inputs: dict[str, fractions.Fraction]) -> None:
+        names = sorted(self.execution.find_enabled_actions(**inputs))
         weights = [_WEIGHTS.get(name, 10) for name in names]
-        self._take(self.rng.choices(names, weights)[0], inputs)
+        self._take_action(self.rng.choices(names, weights)[0], inputs)
 
-    def _take(self, name: str, inputs: dict[str, fractions.Fraction]) -> None:
-        if name not in self.walk.enabled(**inputs):
+    def _take_action(self, name: str, inputs: dict[str, fractions.Fraction]) -> None:
+        if name not in self.execution.find_enabled_actions(**inputs):
             return
-        self.walk.take(name, **inputs)
-        if act := getattr(self, "_" + name.replace(" ", "_"), None):
-            act()
+        self.execution.take_action(name, **inputs)
+        if apply_to_product := getattr(self, "_" + name.replace(" ", "_"), None):
+            apply_to_product()
         self._check()
 
     def _check(self) -> None:
-        enabled = self.walk.enabled()
-        values = self.walk.values
+        enabled = self.execution.find_enabled_actions()
+        values = self.execution.values
         if values["has_token"] and not values["dead"]:
-            may_use = self.ledger.may_renew(_REQUEST, self._now_ms("holder_s"))
-            checks = "holder checks unit and sends start" in enabled
-            assert may_use == checks, f"ledger says {may_use}"
+            ledger_may_use = self.ledger.may_renew(_REQUEST, self._now_ms("holder_s"))
+            model_may_use = "holder checks unit and sends start" in enabled
+            assert ledger_may_use == model_may_use, f"ledger says {ledger_may_use}"
         if values["record_read"] and values["read_revision"] == values["revision"]:
-            due = self._is_due()
+            is_due = self._is_due()
             may_reclaim = "reclaimer writes the record" in enabled
             # The product counts a reuse anew when the record names another
             # registration of the dead holder; the model need not.
-            same = due == may_reclaim or (may_reclaim and values["reuse_seen"])
-            assert same, f"due: {due}"
+            agrees = is_due == may_reclaim or (may_reclaim and values["reuse_seen"])
+            assert agrees, f"due: {is_due}"
 
     def _is_due(self) -> bool:
         row = self.read_record.holders.get(_HOLDER)
         absence = row and self.missing.get(_HOLDER, row.registration)
         if not absence:
             return False
-        if not self.walk.values["seen_after_read"]:
+        if not self.execution.values["seen_after_read"]:
             absence = dataclasses.replace(absence, missing_ms=None)
         now_ms = self._now_ms("reclaimer_s")
         after = self.reclaim(self.read_record, _HOLDER, absence, now_ms, _SETTINGS)
@@ -170,11 +183,13 @@
 
     def _holder_registers_again(self) -> None:
         self.sent_ms = self._now_ms("holder_s")
-        self.own = dataclasses.replace(self.own, revision=self.own.revision + 1)
+        self.registration = dataclasses.replace(
+            self.registration, revision=self.registration.revision + 1
+        )
 
     def _holder_rewrites_the_record(self) -> None:
         row = HolderRow(
-            registration=self.own.revision,
+            registration=self.registration.revision,
             instance="e1",
             zone="z1",
             address="1.1.1.1:2",
@@ -191,19 +206,21 @@
         now_ms = self._now_ms("reclaimer_s")
         self.missing.observe([self.read_record], list(registrations), now_ms)
 
-    def _others(self) -> list[Registration]:
-        new = dataclasses.replace(self.own, process_id="z1.e1.1", revision=1_000)
-        return [new] if self.walk.values["reuse_seen"] else []
+    def _list_replacement_registrations(self) -> list[Registration]:
+        replacement = dataclasses.replace(
+            self.registration, process_id="z1.e1.1", revision=1_000
+        )
+        return [replacement] if self.execution.values["reuse_seen"] else []
 
     def _reclaimer_sees_registration_missing(self) -> None:
-        self._observe(*self._others())
+        self._observe(*self._list_replacement_registrations())
 
     def _reclaimer_sees_registration(self) -> None:
-        self._observe(self.own, *self._others())
+        self._observe(self.registration, *self._list_replacement_registrations())
 
     def _reclaimer_sees_the_new_process(self) -> None:
-        own = [] if self.walk.values["missing_seen"] else [self.own]
-        self._observe(*own, *self._others())
+        present = [] if self.execution.values["missing_seen"] else [self.registration]
+        self._observe(*present, *self._list_replacement_registrations())
 
     def _reclaimer_writes_the_record(self) -> None:
         absence = Absence(0, 0)
--- a/src/cranberrywheel_spec/unit_transfers.py
+++ b/src/cranberrywheel_spec/unit_transfers.py
@@ -9,15 +9,15 @@
 
 import z3
 
-from cranberrywheel_spec.bounded import NEVER, Action, Guard, Model, State
+from cranberrywheel_spec.model_checking import NEVER, Action, Guard, Model, State
 
 HOLDERS = ("a", "b")
 # record: held_*; view, read and write of each holder: counts and revision.
 _COUNTS = (
     "limit", "held_a", "held_b", "revision", "input_own", "input_given",
     *(
-        f"{name}_{p}"
-        for p in HOLDERS
+        f"{name}_{holder_id}"
+        for holder_id in HOLDERS
         for name in (
             "usable", "view_a", "view_b", "view_revision", "read_a", "read_b",
             "read_revision", "write_a", "write_b", "write_expects", "accepted_at",
@@ -25,11 +25,13 @@
     ),
 )  # fmt: skip
 _FLAGS = tuple(
-    f"{name}_{p}" for p in HOLDERS for name in ("waiting", "in_flight", "accepted")
+    f"{name}_{holder_id}"
+    for holder_id in HOLDERS
+    for name in ("waiting", "in_flight", "accepted")
 )
 
 
-class _Holder:
+class _HolderVariables:
     """Variables of one holder by role instead of by name."""
 
     def __init__(self, s: State, own: str) -> None:
@@ -39,135 +41,166 @@
     def __getattr__(self, name: str) -> t.Any:
         return getattr(self._s, f"{name}_{self.own}")
 
-    def pair(self, name: str) -> dict[str, t.Any]:
+    def counts_by_holder(self, name: str) -> dict[str, t.Any]:
         """Return one count per holder: of the view, the read or the write."""
-        return {p: getattr(self._s, f"{name}_{p}_{self.own}") for p in HOLDERS}
+        return {
+            holder_id: getattr(self._s, f"{name}_{holder_id}_{self.own}")
+            for holder_id in HOLDERS
+        }
 
 
 def _start(s: State) -> list[t.Any]:
-    found = [s.revision == 0, s.held_a >= 0, s.held_b >= 0]
-    found.append(s.held_a + s.held_b <= s.limit)
-    for p in HOLDERS:
-        h = _Holder(s, p)
-        found += [h.usable == getattr(s, f"held_{p}"), h.view_revision == 0]
-        found += [h.read_revision == 0, h.write_expects == 0, h.accepted_at == 0]
+    conditions = [s.revision == 0, s.held_a >= 0, s.held_b >= 0]
+    conditions.append(s.held_a + s.held_b <= s.limit)
+    for holder_id in HOLDERS:
+        holder = _HolderVariables(s, holder_id)
+        conditions += [
+            holder.usable == getattr(s, f"held_{holder_id}"),
+            holder.view_revision == 0,
+        ]
+        conditions += [
+            holder.read_revision == 0,
+            holder.write_expects == 0,
+            holder.accepted_at == 0,
+        ]
         for name in ("view", "read", "write"):
-            found += [v == getattr(s, f"held_{q}") for q, v in h.pair(name).items()]
-        found += [z3.Not(x) for x in (h.waiting, h.in_flight, h.accepted)]
-    return found
+            conditions += [
+                v == getattr(s, f"held_{other_id}")
+                for other_id, v in holder.counts_by_holder(name).items()
+            ]
+        conditions += [
+            z3.Not(flag) for flag in (holder.waiting, holder.in_flight, holder.accepted)
+        ]
+    return conditions
 
 
-def _write(h: _Holder, counts: dict[str, t.Any], usable: t.Any) -> dict[str, t.Any]:
-    p = h.own
+def _write_updates(
+    holder: _HolderVariables, counts: dict[str, t.Any], usable: t.Any
+) -> dict[str, t.Any]:
+    holder_id = holder.own
     return {
-        f"write_a_{p}": counts["a"],
-        f"write_b_{p}": counts["b"],
-        f"write_expects_{p}": h.view_revision,
-        f"usable_{p}": usable,
-        f"waiting_{p}": True,
-        f"in_flight_{p}": True,
-        f"accepted_{p}": False,
+        f"write_a_{holder_id}": counts["a"],
+        f"write_b_{holder_id}": counts["b"],
+        f"write_expects_{holder_id}": holder.view_revision,
+        f"usable_{holder_id}": usable,
+        f"waiting_{holder_id}": True,
+        f"in_flight_{holder_id}": True,
+        f"accepted_{holder_id}": False,
     }
 
 
-def _sends(s: State, h: _Holder, guard: Guard) -> list[Action]:
+def _send_actions(s: State, holder: _HolderVariables, guard: Guard) -> list[Action]:
     """A write changes the own count and only raises the other holder's count."""
-    view, p, q = h.pair("view"), h.own, h.other
+    view, holder_id, other_id = (
+        holder.counts_by_holder("view"),
+        holder.own,
+        holder.other,
+    )
     # A write in flight that expects an older revision can only fail.
-    idle = z3.And(
-        z3.Not(h.waiting),
-        z3.Or(z3.Not(h.in_flight), h.write_expects < h.view_revision),
+    may_send = z3.And(
+        z3.Not(holder.waiting),
+        z3.Or(z3.Not(holder.in_flight), holder.write_expects < holder.view_revision),
     )
     own, given = s.input_own, s.input_given
-    fits = guard("sum fits the limit", own + view[q] + given <= s.limit)
-    usable = z3.If(own < h.usable, own, h.usable)
-    usable = z3.If(guard("count falls before the write", NEVER), h.usable, usable)
-    late = guard("count rises after the answer", NEVER)
-    usable = z3.If(z3.And(late, own > usable), own, usable)
+    within_limit = guard("sum fits the limit", own + view[other_id] + given <= s.limit)
+    usable = z3.If(own < holder.usable, own, holder.usable)
+    usable = z3.If(guard("count falls before the write", NEVER), holder.usable, usable)
+    raises_early = guard("count rises after the answer", NEVER)
+    usable = z3.If(z3.And(raises_early, own > usable), own, usable)
     return [
         Action(
-            f"{p} sends a write",
-            z3.And(idle, own >= 0, given >= 0, fits),
-            _write(h, {p: own, q: view[q] + given}, usable),
+            f"{holder_id} sends a write",
+            z3.And(may_send, own >= 0, given >= 0, within_limit),
+            _write_updates(
+                holder, {holder_id: own, other_id: view[other_id] + given}, usable
+            ),
         )
     ]
 
 
-def _store(s: State, h: _Holder, guard: Guard) -> list[Action]:
-    p, write = h.own, h.pair("write")
-    same = guard("store compares the revision", h.write_expects == s.revision)
+def _store_actions(s: State, holder: _HolderVariables, guard: Guard) -> list[Action]:
+    holder_id, write = holder.own, holder.counts_by_holder("write")
+    revision_matches = guard(
+        "store compares the revision", holder.write_expects == s.revision
+    )
     return [
         Action(
-            f"store accepts write of {p}",
-            z3.And(h.in_flight, same),
+            f"store accepts write of {holder_id}",
+            z3.And(holder.in_flight, revision_matches),
             {
                 "held_a": write["a"],
                 "held_b": write["b"],
                 "revision": s.revision + 1,
-                f"in_flight_{p}": False,
-                f"accepted_{p}": True,
-                f"accepted_at_{p}": s.revision + 1,
+                f"in_flight_{holder_id}": False,
+                f"accepted_{holder_id}": True,
+                f"accepted_at_{holder_id}": s.revision + 1,
             },
         ),
         Action(
-            f"store refuses write of {p}",
-            z3.And(h.in_flight, h.write_expects != s.revision),
-            {f"in_flight_{p}": False},
+            f"store refuses write of {holder_id}",
+            z3.And(holder.in_flight, holder.write_expects != s.revision),
+            {f"in_flight_{holder_id}": False},
         ),
         Action(
-            f"{p} reads",
+            f"{holder_id} reads",
             z3.BoolVal(True),
             {
-                f"read_a_{p}": s.held_a,
-                f"read_b_{p}": s.held_b,
-                f"read_revision_{p}": s.revision,
+                f"read_a_{holder_id}": s.held_a,
+                f"read_b_{holder_id}": s.held_b,
+                f"read_revision_{holder_id}": s.revision,
             },
         ),
     ]
 
 
-def _adopt(h: _Holder, counts: dict[str, t.Any], revision: t.Any) -> dict[str, t.Any]:
-    p = h.own
+def _adopt_updates(
+    holder: _HolderVariables, counts: dict[str, t.Any], revision: t.Any
+) -> dict[str, t.Any]:
+    holder_id = holder.own
     return {
-        f"view_a_{p}": counts["a"],
-        f"view_b_{p}": counts["b"],
-        f"view_revision_{p}": revision,
-        f"usable_{p}": counts[p],
-        f"waiting_{p}": False,
-        f"accepted_{p}": False,
+        f"view_a_{holder_id}": counts["a"],
+        f"view_b_{holder_id}": counts["b"],
+        f"view_revision_{holder_id}": revision,
+        f"usable_{holder_id}": counts[holder_id],
+        f"waiting_{holder_id}": False,
+        f"accepted_{holder_id}": False,
     }
 
 
-def _answers(s: State, h: _Holder, guard: Guard) -> list[Action]:
-    p = h.own
-    newer = h.read_revision > h.view_revision
-    not_older = h.read_revision >= h.view_revision
+def _answer_actions(s: State, holder: _HolderVariables, guard: Guard) -> list[Action]:
+    holder_id = holder.own
+    newer = holder.read_revision > holder.view_revision
+    not_older = holder.read_revision >= holder.view_revision
     usable_record = z3.If(
-        h.waiting,
+        holder.waiting,
         z3.Or(newer, z3.And(not_older, guard("lost write needs a newer read", NEVER))),
         guard("older reads are ignored", not_older),
     )
     return [
         Action(
-            f"{p} gets its answer",
-            z3.And(h.waiting, h.accepted),
-            _adopt(h, h.pair("write"), h.accepted_at),
+            f"{holder_id} gets its answer",
+            z3.And(holder.waiting, holder.accepted),
+            _adopt_updates(
+                holder, holder.counts_by_holder("write"), holder.accepted_at
+            ),
         ),
         Action(
-            f"{p} gets the record",
+            f"{holder_id} gets the record",
             usable_record,
-            _adopt(h, h.pair("read"), h.read_revision),
+            _adopt_updates(
+                holder, holder.counts_by_holder("read"), holder.read_revision
+            ),
         ),
     ]
 
 
 def _actions(s: State, guard: Guard) -> list[Action]:
-    found = []
-    for p in HOLDERS:
-        h = _Holder(s, p)
-        for part in (_sends, _store, _answers):
-            found += part(s, h, guard)
-    return found
+    actions = []
+    for holder_id in HOLDERS:
+        holder = _HolderVariables(s, holder_id)
+        for build_actions in (_send_actions, _store_actions, _answer_actions):
+            actions += build_actions(s, holder, guard)
+    return actions
 
 
 def _properties(s: State) -> dict[str, t.Any]:
@@ -177,53 +210,87 @@
 def _invariant(s: State) -> list[t.Any]:
     """Inductive: implies the property in every reachable state."""
     held = {"a": s.held_a, "b": s.held_b}
-    found = [s.held_a >= 0, s.held_b >= 0, s.held_a + s.held_b <= s.limit]
-    for p in HOLDERS:
-        h = _Holder(s, p)
-        view, read, write, q = h.pair("view"), h.pair("read"), h.pair("write"), h.other
-        live = z3.And(h.in_flight, h.write_expects == s.revision)
-        found += [
-            h.usable <= held[p],
-            h.view_revision <= s.revision,
-            h.read_revision <= s.revision,
-            h.write_expects <= h.view_revision,
-            z3.Implies(h.accepted, h.accepted_at <= s.revision),
-            z3.Implies(h.in_flight, z3.Not(h.accepted)),
-            z3.Implies(z3.Not(h.waiting), view[p] <= held[p]),
+    conditions = [s.held_a >= 0, s.held_b >= 0, s.held_a + s.held_b <= s.limit]
+    for holder_id in HOLDERS:
+        holder = _HolderVariables(s, holder_id)
+        view, read, write, other_id = (
+            holder.counts_by_holder("view"),
+            holder.counts_by_holder("read"),
+            holder.counts_by_holder("write"),
+            holder.other,
+        )
+        may_succeed = z3.And(holder.in_flight, holder.write_expects == s.revision)
+        conditions += [
+            holder.usable <= held[holder_id],
+            holder.view_revision <= s.revision,
+            holder.read_revision <= s.revision,
+            holder.write_expects <= holder.view_revision,
+            z3.Implies(holder.accepted, holder.accepted_at <= s.revision),
+            z3.Implies(holder.in_flight, z3.Not(holder.accepted)),
+            z3.Implies(z3.Not(holder.waiting), view[holder_id] <= held[holder_id]),
             z3.Implies(
-                h.read_revision == h.view_revision,
-                z3.And(*(read[x] == view[x] for x in HOLDERS)),
+                holder.read_revision == holder.view_revision,
+                z3.And(
+                    *(
+                        read[counted_holder] == view[counted_holder]
+                        for counted_holder in HOLDERS
+                    )
+                ),
             ),
         ]
-        for revision, counts in ((h.view_revision, view), (h.read_revision, read)):
-            same = z3.And(*(counts[x] == held[x] for x in HOLDERS))
-            found.append(z3.Implies(revision == s.revision, same))
-        found += [
-            z3.Implies(h.read_revision > h.view_revision, read[p] <= held[p]),
+        for revision, counts in (
+            (holder.view_revision, view),
+            (holder.read_revision, read),
+        ):
+            counts_match = z3.And(
+                *(
+                    counts[counted_holder] == held[counted_holder]
+                    for counted_holder in HOLDERS
+                )
+            )
+            conditions.append(z3.Implies(revision == s.revision, counts_match))
+        conditions += [
             z3.Implies(
-                z3.And(h.waiting, h.accepted),
-                z3.And(write[p] <= held[p], h.accepted_at > h.view_revision),
+                holder.read_revision > holder.view_revision,
+                read[holder_id] <= held[holder_id],
             ),
             z3.Implies(
-                z3.And(h.accepted, h.accepted_at == s.revision),
-                z3.And(*(write[x] == held[x] for x in HOLDERS)),
+                z3.And(holder.waiting, holder.accepted),
+                z3.And(
+                    write[holder_id] <= held[holder_id],
+                    holder.accepted_at > holder.view_revision,
+                ),
             ),
             z3.Implies(
-                z3.And(h.accepted, h.accepted_at == h.read_revision),
-                z3.And(*(write[x] == read[x] for x in HOLDERS)),
+                z3.And(holder.accepted, holder.accepted_at == s.revision),
+                z3.And(
+                    *(
+                        write[counted_holder] == held[counted_holder]
+                        for counted_holder in HOLDERS
+                    )
+                ),
+            ),
+            z3.Implies(
+                z3.And(holder.accepted, holder.accepted_at == holder.read_revision),
+                z3.And(
+                    *(
+                        write[counted_holder] == read[counted_holder]
+                        for counted_holder in HOLDERS
+                    )
+                ),
             ),
             z3.Implies(
-                live,
+                may_succeed,
                 z3.And(
-                    h.waiting,
-                    h.usable <= write[p],
-                    write[q] >= held[q],
-                    write[p] >= 0,
+                    holder.waiting,
+                    holder.usable <= write[holder_id],
+                    write[other_id] >= held[other_id],
+                    write[holder_id] >= 0,
                     write["a"] + write["b"] <= s.limit,
                 ),
             ),
         ]
-    return found
+    return conditions
 
 
 def unit_transfers() -> Model:
@@ -231,7 +298,7 @@
 
     :returns: the model; its property says that the usable counts fit the limit.
     """
-    fits = "usable units fit the limit"
+    within_limit = "usable units fit the limit"
     names = (
         "count falls before the write", "count rises after the answer",
         "sum fits the limit", "store compares the revision",
@@ -246,7 +313,7 @@
         start=_start,
         actions=_actions,
         properties=_properties,
-        guards=dict.fromkeys(names, fits),
+        guards=dict.fromkeys(names, within_limit),
         depth=6,
         invariant=_invariant,
     )
--- a/src/cranberrywheel_spec/transfer_conformance.py
+++ b/src/cranberrywheel_spec/unit_transfers_conformance.py
@@ -16,8 +16,8 @@
     resolve_lost_write,
 )
 from cranberrywheel_spec.conformance import ConformanceMachine
+from cranberrywheel_spec.model_execution import CompiledModel, ModelExecution
 from cranberrywheel_spec.unit_transfers import HOLDERS, unit_transfers
-from cranberrywheel_spec.walk import CompiledModel, Walk
 
 KEY, TEAM = "limits/t", "t"
 _MODEL = CompiledModel(unit_transfers())
@@ -44,14 +44,14 @@
         self.waiting, self.accepted = False, None
 
 
-class TransferMachine(ConformanceMachine):
+class UnitTransfersMachine(ConformanceMachine):
     """Two holders move units; the model must allow each write and each count."""
 
     rebalance: t.ClassVar = staticmethod(limit_units.rebalance)
     make_ledger: t.ClassVar[type[UnitLedger]] = UnitLedger
     resolve: t.ClassVar = staticmethod(resolve_lost_write)
 
-    def begin(self) -> None:
+    def set_up_run(self) -> None:
         a, b, free = (self.rng.randrange(9) for _ in range(3))
         rows = {}
         for name, total in (("a", a), ("b", b)):
@@ -76,14 +76,14 @@
             start |= {f"held_{p}": counts[p], f"usable_{p}": counts[p]}
             for kind in ("view", "read", "write"):
                 start |= {f"{kind}_{q}_{p}": counts[q] for q in HOLDERS}
-        self.walk = Walk(_MODEL, **start)
+        self.execution = ModelExecution(_MODEL, **start)
 
     @classmethod
     def model(cls) -> CompiledModel:
         """Return the model that this machine compares with."""
         return _MODEL
 
-    def options(self) -> dict[str, int]:
+    def list_step_weights(self) -> dict[str, int]:
         weights = {"read": 1, "start_request": 1, "finish_request": 1, "deliver_all": 2}
         found = {f"{step} {p}": w for step, w in weights.items() for p in HOLDERS}
         for p, holder in self.holders_by_name.items():
@@ -101,7 +101,7 @@
         used = 0
         for name, holder in self.holders_by_name.items():
             usable = holder.ledger.usable(TEAM, 0)
-            assert usable == self.walk.values[f"usable_{name}"], (name, usable)
+            assert usable == self.execution.values[f"usable_{name}"], (name, usable)
             used += holder.ledger.in_use_by_team().get(TEAM, 0)
         assert used <= self.limit
 
@@ -125,7 +125,9 @@
         holder.write = prepare_write(KEY, holder.view, name, body)
         holder.waiting = holder.in_flight = True
         given = after.holders[other].total - before.holders[other].total
-        self.walk.take(f"{name} sends a write", input_own=new.total, input_given=given)
+        self.execution.take_action(
+            f"{name} sends a write", input_own=new.total, input_given=given
+        )
         self._check()
 
     def deliver_write(self, name: str) -> None:
@@ -135,22 +137,22 @@
         holder.in_flight = False
         write = holder.write
         if write.expected_revision != self.stored.revision:
-            self.walk.take(f"store refuses write of {name}")
+            self.execution.take_action(f"store refuses write of {name}")
             return
         record = Record(KEY, write.value, self.stored.revision + 1)
         self.stored = holder.accepted = parse_record(record)
-        self.walk.take(f"store accepts write of {name}")
+        self.execution.take_action(f"store accepts write of {name}")
 
     def deliver_answer(self, name: str) -> None:
         holder = self.holders_by_name[name]
         if holder.waiting and holder.accepted:
             holder.adopt(holder.accepted)
-            self.walk.take(f"{name} gets its answer")
+            self.execution.take_action(f"{name} gets its answer")
             self._check()
 
     def read(self, name: str) -> None:
         self.holders_by_name[name].read = self.stored
-        self.walk.take(f"{name} reads")
+        self.execution.take_action(f"{name} reads")
 
     def deliver_read(self, name: str) -> None:
         holder = self.holders_by_name[name]
@@ -160,7 +162,7 @@
         else:
             adopts = holder.read.revision > holder.view.revision
         if adopts:
-            self.walk.take(f"{name} gets the record")
+            self.execution.take_action(f"{name} gets the record")
             holder.adopt(holder.read)
         self._check()
 
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -7,7 +7,7 @@
 from cranberrywheel_spec.ticket_conformance import TicketMachine
 
 # The product has no call for these: they happen to it, or are guards at work.
-UNTAKEN = {
+UNTESTED_ACTIONS = {
     "owner dies",
     "holder uses its units without a rewrite",
     *(f"call of planner {p} is lost before the platform" for p in "12"),
@@ -20,24 +20,26 @@
     runs that leave actions of the model out."""
 
     def test_product_follows_the_model(self):
-        found = compare.compare(self.machine, compare.EXAMPLES_BY_MACHINE[self.machine])
-        self.assertEqual(set(), found.untaken - UNTAKEN)
+        comparison = compare.compare(
+            self.machine, compare.EXAMPLES_BY_MACHINE[self.machine]
+        )
+        self.assertEqual(set(), comparison.untaken - UNTESTED_ACTIONS)
 
 
 class TicketTest(ComparisonChecks, testtools.TestCase):
     machine = TicketMachine
 
 
-class TransferTest(ComparisonChecks, testtools.TestCase):
-    machine = compare.TransferMachine
+class UnitTransfersTest(ComparisonChecks, testtools.TestCase):
+    machine = compare.UnitTransfersMachine
 
 
-class ShortHoldTest(ComparisonChecks, testtools.TestCase):
-    machine = compare.HoldMachine
+class ShortUnitTimesTest(ComparisonChecks, testtools.TestCase):
+    machine = compare.UnitTimesMachine
 
 
-class LongHoldTest(ComparisonChecks, testtools.TestCase):
-    machine = compare.LongHoldMachine
+class LongUnitTimesTest(ComparisonChecks, testtools.TestCase):
+    machine = compare.LongUnitTimesMachine
 
 
 class PoolTest(ComparisonChecks, testtools.TestCase):
@@ -52,13 +54,15 @@
     """Guards against a command that hides a difference."""
 
     def test_exit_code_tells_of_a_difference(self):
-        late = type("Late", (TicketMachine,), {"_check_state": self.fail_check})
-        for machine, code in ((TicketMachine, 0), (late, 1)):
+        faulty_machine = type(
+            "Late", (TicketMachine,), {"_check_state": self.raise_difference}
+        )
+        for machine, code in ((TicketMachine, 0), (faulty_machine, 1)):
             self.patch(compare, "EXAMPLES_BY_MACHINE", {machine: 20})
             with contextlib.redirect_stdout(io.StringIO()) as output:
                 self.assertEqual(code, compare.main([]))
             self.assertEqual(bool(code), "DIFFERS" in output.getvalue())
 
     @staticmethod
-    def fail_check(machine, claim):
+    def raise_difference(machine, claim):
         raise AssertionError("differs")
--- a/tests/test_freshness_conformance.py
+++ b/tests/test_freshness_conformance.py
@@ -2,33 +2,33 @@
 from hypothesis.stateful import run_state_machine_as_test
 
 from cranberrywheel.process.exchange import PeerExchange
-from cranberrywheel_spec.compare import run_settings
+from cranberrywheel_spec.compare import build_run_settings
 from cranberrywheel_spec.freshness_conformance import FreshnessMachine
 
 
-class LateReadExchange(PeerExchange):
+class AnswerTimeReadExchange(PeerExchange):
     def record_store_read(self, taken_ms):
         super().record_store_read(self._clock.now_ms())
 
 
-class LateMessageExchange(PeerExchange):
+class AnswerTimeMessageExchange(PeerExchange):
     def merge_state(self, state, sent_ms):
         return super().merge_state(state, sent_ms and self._clock.now_ms())
 
 
-class UnmarkedExchange(PeerExchange):
+class NoTombstoneExchange(PeerExchange):
     def add_tombstone(self, key_id):
         if self.process_id.startswith("z1.e4"):
             super().add_tombstone(key_id)
 
 
-class UnversionedExchange(PeerExchange):
+class VersionIgnoringExchange(PeerExchange):
     def merge_state(self, state, sent_ms):
         state.configuration_version = 0
         return super().merge_state(state, sent_ms)
 
 
-class SomeHeardExchange(PeerExchange):
+class AnyPeerExchange(PeerExchange):
     def __init__(self, *arguments):
         super().__init__(*arguments)
         membership = self._membership
@@ -42,29 +42,31 @@
         super().__init__(*arguments)
         adopt = self.holder.adopt
 
-        def adopt_any(record):
+        def adopt_older(record):
             self.holder._snapshot = None
             return adopt(record)
 
-        self.holder.adopt = adopt_any
+        self.holder.adopt = adopt_older
 
 
 class FreshnessConformanceTest(testtools.TestCase):
     """Guards against freshness code that claims more than the checked model allows."""
 
-    def test_changed_exchanges_are_found(self):
-        for changed in (
-            LateReadExchange,
-            LateMessageExchange,
-            UnmarkedExchange,
-            UnversionedExchange,
-            SomeHeardExchange,
+    def test_faulty_exchanges_are_detected(self):
+        for faulty_class in (
+            AnswerTimeReadExchange,
+            AnswerTimeMessageExchange,
+            NoTombstoneExchange,
+            VersionIgnoringExchange,
+            AnyPeerExchange,
             RevertingExchange,
         ):
-            machine = type("Changed", (FreshnessMachine,), {"make_exchange": changed})
+            machine = type(
+                "Changed", (FreshnessMachine,), {"make_exchange": faulty_class}
+            )
             self.assertRaises(
                 AssertionError,
                 run_state_machine_as_test,
                 machine,
-                settings=run_settings(500),
+                settings=build_run_settings(500),
             )
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -149,8 +149,10 @@
 
     def test_correct_histories_are_accepted(self):
         for name, lines in ACCEPTED.items():
-            bad = [v.format_line() for v in check(parse_lines(lines)) if v.violations]
-            self.assertEqual([], bad, name)
+            violations = [
+                v.format_line() for v in check(parse_lines(lines)) if v.violations
+            ]
+            self.assertEqual([], violations, name)
 
     def test_line_order_does_not_matter(self):
         for rule, histories in REJECTED.items():
@@ -169,13 +171,17 @@
     def test_exit_codes(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        good, bad, broken = (pathlib.Path(folder.name) / n for n in "abc")
-        good.write_text("".join(CALL))
-        bad.write_text("".join(REJECTED["at-most-once"][0]))
-        broken.write_text("no json\n")
+        valid_path, violating_path, malformed_path = (
+            pathlib.Path(folder.name) / n for n in "abc"
+        )
+        valid_path.write_text("".join(CALL))
+        violating_path.write_text("".join(REJECTED["at-most-once"][0]))
+        malformed_path.write_text("no json\n")
         output = io.StringIO()
         with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
-            codes = [main([str(p)]) for p in (good, bad, broken)] + [main([])]
+            codes = [
+                main([str(p)]) for p in (valid_path, violating_path, malformed_path)
+            ] + [main([])]
         self.assertEqual([0, 1, 2, 2], codes)
         self.assertIn("FAIL at-most-once checked=1", output.getvalue())
         self.assertIn("unexercised leaving", output.getvalue())
--- a/tests/test_pool_conformance.py
+++ b/tests/test_pool_conformance.py
@@ -3,7 +3,7 @@
 
 from cranberrywheel.process import instance_lifecycle
 from cranberrywheel.process.zone_record import ZoneRecord
-from cranberrywheel_spec.compare import run_settings
+from cranberrywheel_spec.compare import build_run_settings
 from cranberrywheel_spec.pool_conformance import PoolMachine, _Client
 
 
@@ -15,7 +15,7 @@
         super()._write(pools)
 
 
-class QuietZone(ZoneRecord):
+class UnconfirmedZone(ZoneRecord):
     """Takes the recorded states for true without telling the platform."""
 
     def claim(self, configuration, now_ms):
@@ -28,7 +28,7 @@
         return super().control_instance(name, action, 99)
 
 
-def advance_at_once(row, report, rebooted, due, now_ms):
+def advance_without_idle_report(row, report, rebooted, due, now_ms):
     return instance_lifecycle.advance(
         row, instance_lifecycle.WorkerReport(running=0), rebooted, due, now_ms
     )
@@ -37,17 +37,17 @@
 class PoolConformanceTest(testtools.TestCase):
     """Guards against pool code that differs from the checked model."""
 
-    def test_changed_moves_are_found(self):
+    def test_faulty_moves_are_detected(self):
         for changes in (
             {"make_zone": RereadingZone},
-            {"make_zone": QuietZone},
+            {"make_zone": UnconfirmedZone},
             {"make_client": UnfencedClient},
-            {"advance": staticmethod(advance_at_once)},
+            {"advance": staticmethod(advance_without_idle_report)},
         ):
-            changed = type("Changed", (PoolMachine,), changes)
+            faulty_class = type("Changed", (PoolMachine,), changes)
             self.assertRaises(
                 AssertionError,
                 run_state_machine_as_test,
-                changed,
-                settings=run_settings(500),
+                faulty_class,
+                settings=build_run_settings(500),
             )
--- a/tests/test_spec_models.py
+++ b/tests/test_spec_models.py
@@ -6,9 +6,13 @@
 import z3
 
 from cranberrywheel_spec import check
-from cranberrywheel_spec.bounded import Action, Model, prove
-from cranberrywheel_spec.bounded import check as search
 from cranberrywheel_spec.key_freshness import key_freshness
+from cranberrywheel_spec.model_checking import (
+    Action,
+    Model,
+    find_unproved_claims,
+    find_violation,
+)
 from cranberrywheel_spec.pool_moves import pool_moves
 from cranberrywheel_spec.tickets import tickets
 from cranberrywheel_spec.unit_proof import unit_proof
@@ -23,17 +27,22 @@
     def test_properties_hold(self):
         proof = check.PROOFS.get(self.model.name)
         # A proof covers any length; the search is then a second, shorter check.
-        self.assertEqual("", search(self.model, depth=6 if proof else 0).violated)
+        self.assertEqual(
+            "", find_violation(self.model, depth=6 if proof else 0).violated
+        )
         if proof:
-            self.assertEqual([], prove(proof))
+            self.assertEqual([], find_unproved_claims(proof))
 
     def test_proof_needs_each_guard(self):
         proof = check.PROOFS.get(self.model.name)
         for guard in proof.guards if proof else ():
-            self.assertNotEqual([], prove(proof, guard), guard)
+            self.assertNotEqual([], find_unproved_claims(proof, guard), guard)
 
     def test_each_missing_guard_is_found(self):
-        found = {g: check.without(self.model, g).violated for g in self.model.guards}
+        found = {
+            g: check.find_violation_without_guard(self.model, g).violated
+            for g in self.model.guards
+        }
         self.assertEqual(self.model.guards, found)
 
 
@@ -41,8 +50,8 @@
     model = unit_times(SHORT)
 
     def test_margin_over_token_and_task_lease_alone_is_too_short(self):
-        self.assertEqual(7, search(unit_times(SHORT_AS_DESIGNED)).depth)
-        failed = prove(unit_proof(SHORT_AS_DESIGNED))
+        self.assertEqual(7, find_violation(unit_times(SHORT_AS_DESIGNED)).depth)
+        failed = find_unproved_claims(unit_proof(SHORT_AS_DESIGNED))
         self.assertEqual(["reclaimer writes the record"], failed)
 
 
@@ -66,7 +75,7 @@
     model = key_freshness()
 
 
-COUNTER = Model(
+COUNTER_MODEL = Model(
     name="counter",
     sorts={"n": z3.IntSort()},
     inputs={},
@@ -82,33 +91,35 @@
 )
 
 
-class SearchTest(testtools.TestCase):
+class ModelSearchTest(testtools.TestCase):
     """Guards against a search that misses violations or reports a wrong trace."""
 
     def test_shortest_trace_is_found(self):
-        result = search(COUNTER, "bound")
+        result = find_violation(COUNTER_MODEL, "bound")
         self.assertEqual(("small", 4), (result.violated, result.depth))
         self.assertEqual(
             ["add: n=1", "add: n=2", "add: n=3", "add: n=4"], [*result.steps]
         )
 
     def test_depth_limits_the_search(self):
-        self.assertEqual("", search(COUNTER, "bound", depth=3).violated)
+        self.assertEqual("", find_violation(COUNTER_MODEL, "bound", depth=3).violated)
 
     def test_proof_names_what_fails(self):
-        self.assertEqual([], prove(COUNTER))
-        self.assertEqual(["add"], prove(COUNTER, "bound"))
-        weak = dataclasses.replace(COUNTER, invariant=lambda s: [s.n >= 1])
-        self.assertEqual(["start", "small", "reset"], prove(weak))
+        self.assertEqual([], find_unproved_claims(COUNTER_MODEL))
+        self.assertEqual(["add"], find_unproved_claims(COUNTER_MODEL, "bound"))
+        weak_model = dataclasses.replace(COUNTER_MODEL, invariant=lambda s: [s.n >= 1])
+        self.assertEqual(["start", "small", "reset"], find_unproved_claims(weak_model))
 
     def test_unlisted_guard_is_an_error(self):
-        model = dataclasses.replace(COUNTER, guards={})
-        self.assertRaises(KeyError, search, model)
+        model = dataclasses.replace(COUNTER_MODEL, guards={})
+        self.assertRaises(KeyError, find_violation, model)
 
     def test_report_fails_for_a_guard_without_effect(self):
-        idle = dataclasses.replace(COUNTER, properties=lambda s: {"small": s.n >= 0})
+        vacuous_model = dataclasses.replace(
+            COUNTER_MODEL, properties=lambda s: {"small": s.n >= 0}
+        )
         with contextlib.redirect_stdout(io.StringIO()) as output:
-            self.patch(check, "PROOFS", {"counter": COUNTER})
-            self.assertTrue(check.report(COUNTER, deeper=0, traces=True))
-            self.assertFalse(check.report(idle, deeper=0, traces=False))
+            self.patch(check, "PROOFS", {"counter": COUNTER_MODEL})
+            self.assertTrue(check.report_model(COUNTER_MODEL, deeper=0, traces=True))
+            self.assertFalse(check.report_model(vacuous_model, deeper=0, traces=False))
         self.assertIn("without 'bound': HOLDS", output.getvalue())
--- a/tests/test_ticket_conformance.py
+++ b/tests/test_ticket_conformance.py
@@ -4,11 +4,11 @@
 from hypothesis.stateful import run_state_machine_as_test
 
 from cranberrywheel.request.ticket import ClaimState, TicketBook
-from cranberrywheel_spec.compare import run_settings
+from cranberrywheel_spec.compare import build_run_settings
 from cranberrywheel_spec.ticket_conformance import TicketMachine
 
 
-class NoVoidBook(TicketBook):
+class NoVoidRegistry(TicketBook):
     def query(self, ticket, now_ms):
         claim = super().query(ticket, now_ms)
         if claim.state is ClaimState.NOT_RUN:
@@ -16,19 +16,19 @@
         return claim
 
 
-class EarlyDropBook(TicketBook):
+class EarlyDropRegistry(TicketBook):
     def expire(self, now_ms):
         super().expire(now_ms + self._settings.ticket_retention_ms)
 
 
-class UnlistedBook(TicketBook):
+class IncompleteExportRegistry(TicketBook):
     def export_results(self, now_ms):
         export = super().export_results(now_ms)
         listed = tuple((t, a) for t, a in export.results if a.outcome != "unknown")
         return dataclasses.replace(export, results=listed)
 
 
-class TwiceBook(TicketBook):
+class RepeatedClaimRegistry(TicketBook):
     def claim(self, ticket, team, queue, now_ms):
         claim = super().claim(ticket, team, queue, now_ms)
         if claim.state is ClaimState.RUNNING:
@@ -40,16 +40,21 @@
 class TicketConformanceTest(testtools.TestCase):
     """Guards against a TicketBook that differs from the checked model."""
 
-    def test_changed_books_are_found(self):
-        for changed in (NoVoidBook, EarlyDropBook, UnlistedBook, TwiceBook):
-            machine = type("Machine", (TicketMachine,), {"make_book": changed})
+    def test_faulty_registries_are_detected(self):
+        for faulty_class in (
+            NoVoidRegistry,
+            EarlyDropRegistry,
+            IncompleteExportRegistry,
+            RepeatedClaimRegistry,
+        ):
+            machine = type("Machine", (TicketMachine,), {"make_registry": faulty_class})
             self.assertRaises(
                 AssertionError,
                 run_state_machine_as_test,
                 machine,
-                settings=run_settings(300),
+                settings=build_run_settings(300),
             )
 
-    def test_hand_over_after_retention_stays_unknown(self):
-        machine = type("LateMachine", (TicketMachine,), {"late_hand_over": True})
-        run_state_machine_as_test(machine, settings=run_settings(300))
+    def test_handover_after_retention_stays_unknown(self):
+        machine = type("LateMachine", (TicketMachine,), {"late_handover": True})
+        run_state_machine_as_test(machine, settings=build_run_settings(300))
--- a/tests/test_unit_conformance.py
+++ b/tests/test_unit_conformance.py
@@ -7,37 +7,41 @@
 from cranberrywheel.process.limit_units import UnitLedger
 from cranberrywheel.process.membership import MissingHolders
 from cranberrywheel.version.records import WriteOutcome, resolve_lost_write
-from cranberrywheel_spec.compare import run_settings
-from cranberrywheel_spec.hold_conformance import HoldMachine
-from cranberrywheel_spec.transfer_conformance import TransferMachine
+from cranberrywheel_spec.compare import build_run_settings
+from cranberrywheel_spec.unit_times_conformance import UnitTimesMachine
+from cranberrywheel_spec.unit_transfers_conformance import UnitTransfersMachine
 
 
-class KeepingLedger(UnitLedger):
+class NonReleasingLedger(UnitLedger):
     def release(self, team, long_units, short_units):
-        held = self._held_by_team[team]
-        out = super().release(team, long_units, short_units)
-        self._held_by_team[team] = held
-        return out
+        held_units = self._held_by_team[team]
+        released = super().release(team, long_units, short_units)
+        self._held_by_team[team] = held_units
+        return released
 
 
-class LongLedger(UnitLedger):
+class LateExpiryLedger(UnitLedger):
     def may_renew(self, request_id, now_ms):
         return super().may_renew(request_id, now_ms - 900)
 
 
-class StillMissingHolders(MissingHolders):
+class MergedAbsenceHolders(MissingHolders):
     """Does not tell a second absence of a holder from the first."""
 
     def observe(self, records, registrations, now_ms):
-        kept = {holder: a for (holder, _), a in self._absences.items()}
+        absences_by_holder = {
+            holder: absence for (holder, _), absence in self._absences.items()
+        }
         for record in records:
             for holder, row in record.holders.items():
-                if holder in kept:
-                    self._absences[holder, row.registration] = kept[holder]
+                if holder in absences_by_holder:
+                    self._absences[holder, row.registration] = absences_by_holder[
+                        holder
+                    ]
         super().observe(records, registrations, now_ms)
 
 
-def resolve_at_once(write, current):
+def resolve_pending_as_not_written(write, current):
     outcome = resolve_lost_write(write, current)
     return WriteOutcome.NOT_WRITTEN if outcome is WriteOutcome.PENDING else outcome
 
@@ -61,26 +65,28 @@
 class UnitConformanceTest(testtools.TestCase):
     """Guards against unit code that differs from the checked models."""
 
-    def assert_found(self, machine, **changes):
+    def assert_detected(self, machine, **changes):
         changes = {
             name: value if isinstance(value, type) else staticmethod(value)
             for name, value in changes.items()
         }
-        changed = type("Changed", (machine,), changes)
+        faulty_class = type("Changed", (machine,), changes)
         self.assertRaises(
             AssertionError,
             run_state_machine_as_test,
-            changed,
-            settings=run_settings(500),
+            faulty_class,
+            settings=build_run_settings(500),
         )
 
-    def test_changed_transfers_are_found(self):
-        self.assert_found(TransferMachine, make_ledger=KeepingLedger)
-        self.assert_found(TransferMachine, resolve=resolve_at_once)
-        self.assert_found(TransferMachine, rebalance=rebalance_beyond_limit)
+    def test_faulty_transfers_are_detected(self):
+        self.assert_detected(UnitTransfersMachine, make_ledger=NonReleasingLedger)
+        self.assert_detected(
+            UnitTransfersMachine, resolve=resolve_pending_as_not_written
+        )
+        self.assert_detected(UnitTransfersMachine, rebalance=rebalance_beyond_limit)
 
-    def test_changed_holds_are_found(self):
-        self.assert_found(HoldMachine, make_ledger=LongLedger)
-        self.assert_found(HoldMachine, make_missing=StillMissingHolders)
-        self.assert_found(HoldMachine, reclaim=reclaim_without_rate_margin)
-        self.assert_found(HoldMachine, reclaim=reclaim_early_after_reuse)
+    def test_faulty_unit_times_are_detected(self):
+        self.assert_detected(UnitTimesMachine, make_ledger=LateExpiryLedger)
+        self.assert_detected(UnitTimesMachine, make_missing=MergedAbsenceHolders)
+        self.assert_detected(UnitTimesMachine, reclaim=reclaim_without_rate_margin)
+        self.assert_detected(UnitTimesMachine, reclaim=reclaim_early_after_reuse)
