--- a/src/cranberrywheel_load/bench_schedulers.py
+++ b/src/cranberrywheel_load/bench_schedulers.py
@@ -1,4 +1,4 @@
-"""Schedulers that the policy benchmark compares."""
+"""Schedulers that the policy benchmark compares: the product's and two baselines."""
 
 import collections
 import random
@@ -22,17 +22,18 @@
 from cranberrywheel_load.bench_arrivals import CAPACITY, SLOTS, WORKERS
 
 POOL = "pool"
-#: Upper limit of each team as a part of all slots.
-LIMIT_FRACTION = 0.6
-DECLARED_MS = 400
+#: Limit of each team as a fraction of all slots.
+TEAM_LIMIT_FRACTION = 0.6
+#: Declared run time of every queue.
+DECLARED_RUN_MS = 400
 MAX_QUEUED = 500
 
 
-class Policy:
-    """The decisions of the product, as the dispatcher combines them.
+class ProductScheduler:
+    """Combines the product's request decisions as its dispatcher does.
 
-    :param seed: of the random choices.
-    :param shares: share of each team.
+    :param seed: seeds the random choices of workers and retry delays.
+    :param shares: share of the capacity of each team.
     """
 
     def __init__(self, seed: int, shares: t.Mapping[str, float]) -> None:
@@ -40,12 +41,12 @@
         self._rng = random.Random(seed)
         self._queue = FairQueue(MAX_QUEUED)
         self._estimates = RunTimeEstimates()
-        self._budget = RetryBudget()
+        self._retry_budget = RetryBudget()
         self._failed_workers: dict[str, list[str]] = {}
-        self._use: collections.Counter[str] = collections.Counter()
-        self._table = WorkerTable("zone-0", self._rng)
-        self._table.set_ejection_limit(POOL, 1)
-        self._table.set_workers(
+        self._running_by_team: collections.Counter[str] = collections.Counter()
+        self._workers = WorkerTable("zone-0", self._rng)
+        self._workers.set_ejection_limit(POOL, 1)
+        self._workers.set_workers(
             WorkerRow(
                 name=f"worker-{number}",
                 address=str(number),
@@ -59,19 +60,22 @@
         )
 
     def admit(self, request: Request, now_ms: int) -> bool:
-        """Queue a request unless it is refused."""
+        """Queue a request; return whether it was accepted.
+
+        It is refused if its expected end exceeds its deadline or the queue is full.
+        """
         share = self._shares[request.team]
-        queued = self._queue.estimate_requests_ahead(
+        requests_ahead = self._queue.estimate_requests_ahead(
             request.team, request.urgent, share
         )
         wait_ms = self._estimates.estimate_wait_ms(
-            request.queue, DECLARED_MS, queued, CAPACITY
+            request.queue, DECLARED_RUN_MS, requests_ahead, CAPACITY
         )
-        run_ms = self._estimates.estimate_run_ms(request.queue, DECLARED_MS)
+        run_ms = self._estimates.estimate_run_ms(request.queue, DECLARED_RUN_MS)
         if now_ms + wait_ms + run_ms > request.deadline_ms:
             return False
         if request.request_id not in self._failed_workers:
-            self._budget.record_request(now_ms)
+            self._retry_budget.record_request(now_ms)
         try:
             self._queue.push(request, request.deadline_ms - round(run_ms))
         except OverloadedError:
@@ -79,26 +83,29 @@
         return True
 
     def start(self, now_ms: int) -> tuple[Request, str] | None:
-        """Return the next request to start and its worker."""
-        if not self._table.has_capacity(POOL, now_ms):
+        """Start the next request; return it and its worker, or None."""
+        if not self._workers.has_capacity(POOL, now_ms):
             return None
-        limit = LIMIT_FRACTION * CAPACITY
+        limit = TEAM_LIMIT_FRACTION * CAPACITY
         request = self._queue.pop(
-            now_ms, self._shares, self._use, lambda team: self._use[team] < limit
+            now_ms,
+            self._shares,
+            self._running_by_team,
+            lambda team: self._running_by_team[team] < limit,
         )
         if request is None:
             return None
         failed = self._failed_workers.get(request.request_id, ())
         may_probe = request.idempotent and not request.urgent
-        worker = self._table.choose(POOL, now_ms, failed, may_probe=may_probe)
-        worker = worker or self._table.choose(POOL, now_ms)
+        worker = self._workers.choose(POOL, now_ms, failed, may_probe=may_probe)
+        worker = worker or self._workers.choose(POOL, now_ms)
         if worker is None:
-            raise RuntimeError("the pool had room")
-        self._table.record_start(worker.name, now_ms)
-        self._use[request.team] += 1
+            raise RuntimeError("the pool has capacity but no worker could be chosen")
+        self._workers.record_start(worker.name, now_ms)
+        self._running_by_team[request.team] += 1
         return request, worker.name
 
-    def finished(
+    def record_end(
         self,
         request: Request,
         worker: str,
@@ -106,23 +113,25 @@
         duration_ms: int,
         now_ms: int,
     ) -> None:
-        """Learn from an attempt."""
-        self._use[request.team] -= 1
-        run_ms = self._estimates.estimate_run_ms(request.queue, DECLARED_MS)
-        self._table.record_end(worker, verdict, duration_ms, now_ms, run_ms)
+        """Record the end of an attempt, with its duration in ms."""
+        self._running_by_team[request.team] -= 1
+        run_ms = self._estimates.estimate_run_ms(request.queue, DECLARED_RUN_MS)
+        self._workers.record_end(worker, verdict, duration_ms, now_ms, run_ms)
         if verdict is AttemptVerdict.OK:
             self._estimates.record(request.queue, duration_ms, 1.0, 64)
         if verdict is AttemptVerdict.FAILED:
             failed = self._failed_workers.setdefault(request.request_id, [])
             failed.append(worker)
             if request_caused_failures(failed):
-                self._table.retract_failures(failed, now_ms)
+                self._workers.retract_failures(failed, now_ms)
         else:
             self._failed_workers.pop(request.request_id, None)
 
-    def retry_ms(self, request: Request, attempts: int, now_ms: int) -> int | None:
-        """Return the delay before the next attempt, if any."""
-        return plan_retry(request, attempts, False, now_ms, self._budget, self._rng)
+    def plan_retry_ms(self, request: Request, attempts: int, now_ms: int) -> int | None:
+        """Return the delay in ms before the next attempt, or None for no retry."""
+        return plan_retry(
+            request, attempts, False, now_ms, self._retry_budget, self._rng
+        )
 
     def remove(self, request_id: str) -> None:
         """Remove a cancelled request from the queue."""
@@ -132,82 +141,90 @@
         """Return the requests whose deadline passed in the queue."""
         return self._queue.take_expired(now_ms)
 
-    def displaced(
+    def choose_preempted(
         self,
         running_by_team: t.Mapping[str, list[RunningTask]],
         urgent_by_team: t.Mapping[str, int],
         now_ms: int,
     ) -> list[str]:
-        """Return the running requests that make room.
+        """Return the ids of running requests to preempt for waiting urgent ones.
+
+        For a team at its limit only its own tasks are preempted.
 
-        A team at its limit gets room only from its own tasks.
+        :param running_by_team: running tasks of each team.
+        :param urgent_by_team: number of urgent requests that have waited too long.
         """
-        chosen: list[str] = []
-        below_limit = 0
+        preempted: list[str] = []
+        waiting_below_limit = 0
         for team, waiting in urgent_by_team.items():
-            if self._use[team] < LIMIT_FRACTION * CAPACITY:
-                below_limit += waiting
+            if self._running_by_team[team] < TEAM_LIMIT_FRACTION * CAPACITY:
+                waiting_below_limit += waiting
             else:
-                chosen += select_tasks_to_preempt(
+                preempted += select_tasks_to_preempt(
                     running_by_team[team], waiting, now_ms
                 )
         others = [
             task
             for tasks in running_by_team.values()
             for task in tasks
-            if task.request_id not in chosen
+            if task.request_id not in preempted
         ]
-        return chosen + select_tasks_to_preempt(others, below_limit, now_ms)
+        return preempted + select_tasks_to_preempt(others, waiting_below_limit, now_ms)
 
 
-class Baseline:
+class BaselineScheduler:
     """First come, first served, with round robin over the workers.
 
-    :param team_limit: slots of each team; all slots for round robin without limits.
+    Below ``CAPACITY``, each team has its own queue; otherwise all teams share one.
+
+    :param team_limit: slots of each team; ``CAPACITY`` for no limit.
     """
 
     def __init__(self, team_limit: int) -> None:
         self._team_limit = team_limit
         self._waiting: dict[str, collections.OrderedDict[str, Request]] = {}
-        self._count = 0
-        self._use: collections.Counter[str] = collections.Counter()
-        self._in_flight: collections.Counter[str] = collections.Counter()
-        self._next = 0
+        self._queued_count = 0
+        self._running_by_team: collections.Counter[str] = collections.Counter()
+        self._running_by_worker: collections.Counter[str] = collections.Counter()
+        self._next_worker = 0
 
-    def _key(self, request: Request) -> str:
+    def _queue_key(self, request: Request) -> str:
         return request.team if self._team_limit < CAPACITY else ""
 
     def admit(self, request: Request, now_ms: int) -> bool:
-        """Queue a request unless the queue is full."""
-        if self._count >= MAX_QUEUED:
+        """Queue a request unless the queue is full; return whether it was queued."""
+        if self._queued_count >= MAX_QUEUED:
             return False
         waiting = self._waiting.setdefault(
-            self._key(request), collections.OrderedDict()
+            self._queue_key(request), collections.OrderedDict()
         )
         waiting[request.request_id] = request
-        self._count += 1
+        self._queued_count += 1
         return True
 
     def start(self, now_ms: int) -> tuple[Request, str] | None:
-        """Return the oldest request of a team below its limit, and a worker."""
-        if sum(self._in_flight.values()) >= CAPACITY:
+        """Start the oldest request of a queue below its limit.
+
+        :returns: the request and its worker, or None.
+        """
+        if sum(self._running_by_worker.values()) >= CAPACITY:
             return None
         for key, waiting in self._waiting.items():
-            if waiting and self._use[key] < self._team_limit:
+            if waiting and self._running_by_team[key] < self._team_limit:
                 break
         else:
             return None
         _, request = waiting.popitem(last=False)
         self._waiting[key] = self._waiting.pop(key)
-        self._count -= 1
-        self._use[key] += 1
-        while self._in_flight[worker := f"worker-{self._next}"] >= SLOTS:
-            self._next = (self._next + 1) % WORKERS
-        self._next = (self._next + 1) % WORKERS
-        self._in_flight[worker] += 1
+        self._queued_count -= 1
+        self._running_by_team[key] += 1
+        while self._running_by_worker[worker := f"worker-{self._next_worker}"] >= SLOTS:
+            self._next_worker = (self._next_worker + 1) % WORKERS
+        self._next_worker = (self._next_worker + 1) % WORKERS
+        self._running_by_worker[worker] += 1
         return request, worker
 
-    def finished(
+    def record_end(
         self,
         request: Request,
         worker: str,
@@ -215,37 +232,39 @@
         duration_ms: int,
         now_ms: int,
     ) -> None:
-        """Free the slot."""
-        self._use[self._key(request)] -= 1
-        self._in_flight[worker] -= 1
+        """Free the slot of an ended attempt."""
+        self._running_by_team[self._queue_key(request)] -= 1
+        self._running_by_worker[worker] -= 1
 
-    def retry_ms(self, request: Request, attempts: int, now_ms: int) -> int | None:
-        """Retry idempotent requests up to three attempts, without a budget."""
+    def plan_retry_ms(self, request: Request, attempts: int, now_ms: int) -> int | None:
+        """Retry idempotent requests at once, up to three attempts, without a budget."""
         return 0 if request.idempotent and attempts < 3 else None
 
     def remove(self, request_id: str) -> None:
         """Remove a cancelled request from the queue."""
         for waiting in self._waiting.values():
             if waiting.pop(request_id, None):
-                self._count -= 1
+                self._queued_count -= 1
 
     def take_expired(self, now_ms: int) -> list[Request]:
-        """Return nothing; callers cancel at their deadline."""
+        """Return an empty list; callers cancel at their deadline."""
         return []
 
-    def displaced(
+    def choose_preempted(
         self,
         running_by_team: t.Mapping[str, list[RunningTask]],
         urgent_by_team: t.Mapping[str, int],
         now_ms: int,
     ) -> list[str]:
-        """Return nothing."""
+        """Return an empty list; the baselines do not preempt."""
         return []
 
 
-Scheduler = Policy | Baseline
+Scheduler = ProductScheduler | BaselineScheduler
 SCHEDULERS: dict[str, t.Callable[[int, t.Mapping[str, float]], Scheduler]] = {
-    "policy": Policy,
-    "round-robin": lambda _seed, _shares: Baseline(CAPACITY),
-    "equal-parts": lambda _seed, shares: Baseline(max(1, CAPACITY // len(shares))),
+    "policy": ProductScheduler,
+    "round-robin": lambda _seed, _shares: BaselineScheduler(CAPACITY),
+    "equal-parts": lambda _seed, shares: BaselineScheduler(
+        max(1, CAPACITY // len(shares))
+    ),
 }
