--- a/src/cranberrywheel/process/fleet_view.py
+++ b/src/cranberrywheel/process/fleet_view.py
@@ -4,7 +4,7 @@
 import typing as t
 
 from cranberrywheel.connection.store_client import Instance, InstanceList
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.process.worker_table import WorkerRow, WorkerTable
 from cranberrywheel.version.configuration import Configuration
 
@@ -23,12 +23,12 @@
         self._workers = workers
         self._configuration: Configuration | None = None
         self._revision_by_zone: dict[str, int] = {}
-        self._rows_by_zone: dict[str, tuple[m.PoolRow, ...]] = {}
+        self._assignments_by_zone: dict[str, tuple[messages.PoolAssignment, ...]] = {}
         self._bodies_by_zone: dict[str, dict[str, t.Any]] = {}
         self._instance_list = InstanceList(0, 0, ())
         self._instances_by_id: dict[str, Instance] = {}
         self._refused_as_leaving: set[str] = set()
-        self._peers_by_id: dict[str, m.PeerReport] = {}
+        self._peers_by_id: dict[str, messages.PeerReport] = {}
         #: Idle quota units by peer and team, less those reserved here since the
         #: peer's last report.
         self._idle_units: dict[tuple[str, str], int] = {}
@@ -50,13 +50,13 @@
         }
         self._refresh_workers()
 
-    def set_pools(self, message: m.PoolsChanged) -> None:
+    def set_pools(self, message: messages.PoolsChanged) -> None:
         """Use a ``pools/<zone>`` record if it is newer than the present one."""
         zone = message.zone
         if message.revision <= self._revision_by_zone.get(zone, 0):
             return
         self._revision_by_zone[zone] = message.revision
-        self._rows_by_zone[zone] = message.rows
+        self._assignments_by_zone[zone] = message.rows
         self._bodies_by_zone[zone] = message.body
         self._refresh_workers()
 
@@ -85,42 +85,44 @@
         self._refused_as_leaving.add(worker)
         self._update_leaving()
 
-    def _list_assignments(self) -> dict[str, m.PoolRow]:
+    def _list_assignments(self) -> dict[str, messages.PoolAssignment]:
         """Return pool and state by worker, from pool records or else as declared."""
         assert self._configuration is not None
-        rows = {
-            worker.name: m.PoolRow(worker.name, worker.pool, SERVING)
+        assignments = {
+            worker.name: messages.PoolAssignment(worker.name, worker.pool, SERVING)
             for worker in self._configuration.workers_by_name.values()
-            if worker.zone not in self._rows_by_zone
+            if worker.zone not in self._assignments_by_zone
         }
-        for zone_rows in self._rows_by_zone.values():
-            rows.update({row.worker: row for row in zone_rows})
-        return rows
+        for zone_assignments in self._assignments_by_zone.values():
+            assignments.update(
+                {assignment.worker: assignment for assignment in zone_assignments}
+            )
+        return assignments
 
     def _refresh_workers(self) -> None:
         if self._configuration is None:
             return
         rows = []
         slots_by_pool: dict[str, int] = {}
-        for row in self._list_assignments().values():
-            instance = self._instances_by_id.get(row.worker)
-            pool = self._configuration.pools_by_name.get(row.pool)
+        for assignment in self._list_assignments().values():
+            instance = self._instances_by_id.get(assignment.worker)
+            pool = self._configuration.pools_by_name.get(assignment.pool)
             if instance is None or pool is None:
                 continue
             rows.append(
                 WorkerRow(
-                    name=row.worker,
+                    name=assignment.worker,
                     address=instance.address,
                     zone=instance.zone,
                     rack=instance.rack,
-                    pool=row.pool,
+                    pool=assignment.pool,
                     slots=pool.slots_per_executor,
-                    serving=row.state == SERVING,
+                    serving=assignment.state == SERVING,
                 )
             )
-            if row.state == SERVING:
-                slots = slots_by_pool.get(row.pool, 0)
-                slots_by_pool[row.pool] = slots + pool.slots_per_executor
+            if assignment.state == SERVING:
+                slots = slots_by_pool.get(assignment.pool, 0)
+                slots_by_pool[assignment.pool] = slots + pool.slots_per_executor
         self._slots_by_pool = slots_by_pool
         self._workers.set_workers(rows)
         self._update_leaving()
@@ -152,7 +154,7 @@
             removable = serving_by_pool.get(pool, 0) - min_healthy
             self._workers.set_ejection_limit(pool, max(0, removable))
 
-    def set_peer(self, report: m.PeerReport) -> None:
+    def set_peer(self, report: messages.PeerReport) -> None:
         """Use a peer's report."""
         previous_report = self._peers_by_id.get(report.process_id)
         self._peers_by_id[report.process_id] = report
@@ -243,10 +245,10 @@
         """Return the number of workers by pool and state as JSON-ready values."""
         status: dict[str, dict[str, int]] = {}
         if self._configuration is not None:
-            for row in self._list_assignments().values():
-                states = status.setdefault(row.pool, {})
-                is_listed = row.worker in self._instances_by_id
-                state = row.state if is_listed else "unlisted"
+            for assignment in self._list_assignments().values():
+                states = status.setdefault(assignment.pool, {})
+                is_listed = assignment.worker in self._instances_by_id
+                state = assignment.state if is_listed else "unlisted"
                 states[state] = states.get(state, 0) + 1
         return status
 
@@ -255,7 +257,7 @@
         queued_by_service: t.Mapping[str, t.Mapping[str, int]],
         idle_units_by_team: t.Mapping[str, int],
         stopping: bool,
-    ) -> m.LoadReport:
+    ) -> messages.LoadReport:
         """Build the load report for the next exchange with peers.
 
         :param queued_by_service: queued requests by service, then by team.
@@ -278,9 +280,9 @@
             for instance in self._instances_by_id.values()
             if instance.leaving
         }
-        return m.LoadReport(
+        return messages.LoadReport(
             loads=tuple(
-                m.PeerLoad(team, service, *counts)
+                messages.PeerLoad(team, service, *counts)
                 for (team, service), counts in sorted(loads.items())
             ),
             in_flight_by_worker=self._workers.in_flight_by_worker(),
--- a/src/cranberrywheel/process/planner.py
+++ b/src/cranberrywheel/process/planner.py
@@ -20,7 +20,7 @@
     StoreError,
     StoreUnavailableError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.process import instance_lifecycle
 from cranberrywheel.process.capacity import build_problem
 from cranberrywheel.process.disruptions import Disruptions
@@ -38,11 +38,11 @@
 from cranberrywheel.process.size_search import choose_sizes
 from cranberrywheel.process.waves import is_maintenance_due, plan_round
 from cranberrywheel.process.worker_reports import (
-    TaskRow,
-    UsageBook,
-    Workers,
-    report_of,
+    TaskStatus,
+    UsageEstimator,
+    WorkerClient,
     sum_usage,
+    summarize_worker,
 )
 from cranberrywheel.process.zone_lease import ZoneLease
 from cranberrywheel.process.zone_record import ZoneRecord
@@ -62,7 +62,7 @@
 #: Shortest interval between two writes of the plan and the measured usage.
 PUBLISH_INTERVAL_MS = 60_000
 
-_log = PartLogger("planner")
+_log = ComponentLogger("planner")
 
 
 def wall_clock_ms() -> int:
@@ -82,7 +82,7 @@
         self,
         settings: PlannerSettings,
         client: StoreClient,
-        workers: Workers,
+        workers: WorkerClient,
         clock: Clock | None = None,
         now_wall_ms: t.Callable[[], int] = wall_clock_ms,
     ) -> None:
@@ -97,7 +97,7 @@
             settings.zone, client, self._records, self._lease, self._clock
         )
         self._disruptions = Disruptions(self._records)
-        self._usage = UsageBook()
+        self._usage = UsageEstimator()
         self._configuration: Configuration | None = None
         self._configuration_version = 0
         self._instance_list = InstanceList(0, 0, ())
@@ -137,7 +137,7 @@
                 # Recorded reboots are requested again, so earlier failures to answer
                 # do not show that a reboot has happened.
                 self._unresponsive.clear()
-            self._zone.confirm()
+            self._zone.apply_unconfirmed()
             self._finish_steps(configuration)
             if self._clock.now_ms() >= self._next_plan_ms:
                 self._start_steps(configuration)
@@ -158,7 +158,7 @@
         if not self._lease.is_valid():
             return
         try:
-            self._zone.confirm()
+            self._zone.apply_unconfirmed()
         except (StoreError, LeaseLostError) as error:
             _log.event(
                 "platform did not confirm recorded states; retrying next round",
@@ -182,7 +182,7 @@
 
     def _request_tasks(
         self, names: t.Iterable[str]
-    ) -> dict[str, tuple[TaskRow, ...] | None]:
+    ) -> dict[str, tuple[TaskStatus, ...] | None]:
         """Request the tasks of workers.
 
         :returns: tasks by name, ``None`` for a worker that did not answer. Workers
@@ -218,7 +218,7 @@
             )
             if new_assignment:
                 changes[name] = new_assignment
-        self._zone.change(changes)
+        self._zone.write_changes(changes)
         self._unresponsive -= changes.keys()
         self._checkpointed = {
             task_key for task_key in self._checkpointed if task_key[0] not in changes
@@ -231,7 +231,7 @@
         configuration: Configuration,
         name: str,
         assignment: InstanceAssignment,
-        tasks: tuple[TaskRow, ...] | None,
+        tasks: tuple[TaskStatus, ...] | None,
     ) -> InstanceAssignment | None:
         if (
             assignment.target_pool
@@ -253,11 +253,11 @@
         now_ms = self._now_wall_ms()
         maintained_ms = self._zone.pools.maintained_ms_by_name.get(name, 0)
         due = is_maintenance_due(configuration, maintained_ms, now_ms)
-        report = report_of(configuration, tasks)
+        report = summarize_worker(configuration, tasks)
         return instance_lifecycle.advance(assignment, report, rebooted, due, now_ms)
 
     def _checkpoint_tasks(
-        self, configuration: Configuration, name: str, tasks: tuple[TaskRow, ...]
+        self, configuration: Configuration, name: str, tasks: tuple[TaskStatus, ...]
     ) -> None:
         addresses = {
             instance.instance_id: instance.address
@@ -291,7 +291,7 @@
             for name, assignment in assignments.items()
             if assignment.state != InstanceState.SERVING
         }
-        self._lease.check()
+        self._lease.require_valid()
         self._disruptions.change(configuration, out, removed={*assignments, *dropped})
 
     def _start_steps(self, configuration: Configuration) -> None:
@@ -317,9 +317,9 @@
             for name in (*plan.take, *plan.quarantine)
         }
         if claimed:
-            self._lease.check()
+            self._lease.require_valid()
             self._disruptions.change(configuration, claimed)
-        self._zone.change(self._build_changes(plan))
+        self._zone.write_changes(self._build_changes(plan))
         if plan.recall or plan.drop:
             self._update_disruptions(configuration, plan.drop)
         self._publish(fleet.now_ms)
@@ -360,7 +360,7 @@
             self._usage.sample(tasks_by_name)
             self._next_sample_ms = self._clock.now_ms() + SAMPLE_INTERVAL_MS
         reports: dict[str, WorkerReport] = {
-            name: report_of(configuration, tasks)
+            name: summarize_worker(configuration, tasks)
             for name, tasks in tasks_by_name.items()
         }
         now_ms = self._now_wall_ms()
@@ -390,6 +390,6 @@
         if usage := self._usage.to_body(now_ms):
             bodies["usage"] = usage
         for kind, body in bodies.items():
-            self._lease.check()
+            self._lease.require_valid()
             record_key = f"{kind}/{self._settings.zone}"
             self._records.write(record_key, body, self._records.read(record_key))
--- a/src/cranberrywheel/process/record_writer.py
+++ b/src/cranberrywheel/process/record_writer.py
@@ -8,7 +8,7 @@
     StoreError,
     StoreUnavailableError,
 )
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.version.records import (
     PreparedWrite,
     StoredRecord,
@@ -26,7 +26,7 @@
 #: again.
 MAX_RESENDS = 3
 
-_log = PartLogger("store")
+_log = ComponentLogger("store")
 
 
 class Backoff:
--- a/src/cranberrywheel/programs/planner.py
+++ b/src/cranberrywheel/programs/planner.py
@@ -1,4 +1,4 @@
-"""``cranberrywheel-planner``: capacity and maintenance of one availability zone."""
+"""``cranberrywheel-planner``: plans capacity and maintenance of one zone."""
 
 import sys
 import threading
@@ -6,7 +6,7 @@
 
 from cranberrywheel.connection.store_client import StoreClient
 from cranberrywheel.process.planner import Planner
-from cranberrywheel.process.worker_reports import Workers
+from cranberrywheel.process.worker_reports import WorkerClient
 from cranberrywheel.programs.console import DaemonCommand, run_daemon
 from cranberrywheel.settings import load_planner_settings
 
@@ -16,12 +16,14 @@
     description = "Plan capacity and maintenance of one availability zone."
     help = "Example: cranberrywheel-planner --settings /etc/cranberrywheel/planner.ini"
 
-    def create(self, path: str) -> tuple[t.Callable[[], None], t.Callable[[], None]]:
+    def build_daemon(
+        self, path: str
+    ) -> tuple[t.Callable[[], None], t.Callable[[], None]]:
         settings = load_planner_settings(path)
         stop = threading.Event()
 
         def run() -> None:
-            client, workers = StoreClient(settings.platform), Workers()
+            client, workers = StoreClient(settings.platform), WorkerClient()
             Planner(settings, client, workers).run(stop)
             workers.close()
             client.close()
@@ -30,7 +32,7 @@
 
 
 def main() -> int:
-    """Run the program."""
+    """Run the command line; returns the exit code."""
     return run_daemon("cranberrywheel-planner", PlannerCommand())
 
 
--- a/src/cranberrywheel/submission/handover.py
+++ b/src/cranberrywheel/submission/handover.py
@@ -8,7 +8,7 @@
 import json
 import typing as t
 
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.submission.live import Run, RunState
 from cranberrywheel.submission.record import Progress
 from cranberrywheel.submission.state import SchedulerState
@@ -16,7 +16,7 @@
 #: Fence of a handover record that no leader may use.
 NO_FENCE = 0
 
-_log = PartLogger("leader")
+_log = ComponentLogger("leader")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/cranberrywheel/submission/scheduling_pass.py
+++ b/src/cranberrywheel/submission/scheduling_pass.py
@@ -8,7 +8,7 @@
 
 import typing as t
 
-from cranberrywheel.logs import PartLogger
+from cranberrywheel.logs import ComponentLogger
 from cranberrywheel.submission import actions
 from cranberrywheel.submission.executor import Executor
 from cranberrywheel.submission.live import LiveSubmission, Run, StepRun, Task
@@ -28,7 +28,7 @@
 #: its predecessors, so that a number is never used twice.
 RUN_NUMBERS_PER_TERM = 1_000
 
-_log = PartLogger("scheduler")
+_log = ComponentLogger("scheduler")
 
 
 def start_waiting_tasks(state: SchedulerState, now_ms: int, unix_ms: int) -> None:
--- a/tests/dispatcher_fakes.py
+++ b/tests/dispatcher_fakes.py
@@ -1,4 +1,4 @@
-"""A dispatcher with a manual clock and with lists in place of other tasks."""
+"""A dispatcher with a manual clock, and lists in place of the other tasks."""
 
 import random
 from concurrent.futures import Future
@@ -6,13 +6,13 @@
 from cranberrywheel.clock import ManualClock
 from cranberrywheel.connection.store_client import Instance, InstanceList
 from cranberrywheel.connection.target_messages import (
-    AttemptEnd,
     AttemptFinished,
+    AttemptOutcome,
     FetchToken,
     StartAttempt,
     TokenFetched,
 )
-from cranberrywheel.process import messages as m
+from cranberrywheel.process import messages
 from cranberrywheel.process.dispatcher import Dispatcher
 from cranberrywheel.process.entry_state import Links, create_state
 from cranberrywheel.settings import EntrySettings, PlatformSettings
@@ -79,8 +79,8 @@
     return EntrySettings(**{**fields, **changes})
 
 
-class DispatcherBench:
-    """Drives one dispatcher by hand; starts with two units of team ``red``."""
+class DispatcherHarness:
+    """Runs one dispatcher step by step; by default with two units of team ``red``."""
 
     def __init__(self, long_units=2, short_units=0):
         self.clock = ManualClock(1_000_000)
@@ -109,11 +109,11 @@
             for w in WORKERS
         )
         self.post(
-            m.ConfigurationAdopted(snapshot),
-            m.InstancesListed(InstanceList(1, 0, rows)),
-            m.ProofTaken(self.clock.now_ms()),
-            m.HoldRenewed(self.clock.now_ms()),
-            m.UnitsHeld("red", long_units, short_units),
+            messages.ConfigurationAdopted(snapshot),
+            messages.InstancesListed(InstanceList(1, 0, rows)),
+            messages.FreshnessProven(self.clock.now_ms()),
+            messages.QuotaLeaseRenewed(self.clock.now_ms()),
+            messages.QuotaUnitsHeld("red", long_units, short_units),
         )
 
     def _forward(self, address, incoming, timeout_ms):
@@ -121,23 +121,28 @@
         self.forwarded.append((address, incoming, future))
         return future
 
-    def post(self, *messages):
-        for message in messages:
+    def post(self, *batch):
+        for message in batch:
             self.dispatcher.post(message)
-        self.dispatcher.turn()
+        self.dispatcher.run_once()
 
     def advance(self, duration_ms):
-        """Move the clock in steps; keep keys fresh, units held, tokens given."""
+        """Advance the clock in steps of 100 ms.
+
+        Each step renews the freshness proof and the quota lease and grants tokens.
+        """
         for _ in range(0, duration_ms, 100):
             self.clock.advance(100)
             now_ms = self.clock.now_ms()
-            self.post(m.ProofTaken(now_ms), m.HoldRenewed(now_ms))
-            self.give_tokens()
+            self.post(
+                messages.FreshnessProven(now_ms), messages.QuotaLeaseRenewed(now_ms)
+            )
+            self.grant_tokens()
 
     def submit(self, request_id, queue="lookups", ticket="", key=None, **changes):
         future = Future()
         authorization = "" if key == "" else f"Bearer {key or self.key}"
-        incoming = m.IncomingRequest(
+        incoming = messages.IncomingRequest(
             request_id=request_id,
             queue=queue,
             authorization=authorization,
@@ -147,39 +152,39 @@
             timeout_ms=0,
             **changes,
         )
-        self.post(m.SubmitRequest(incoming, future))
-        self.give_tokens()
+        self.post(messages.SubmitRequest(incoming, future))
+        self.grant_tokens()
         return future
 
     def ticket(self, queue="payments"):
         tickets = Future()
-        self.post(m.IssueTickets(f"Bearer {self.key}", queue, 1, tickets))
+        self.post(messages.IssueTickets(f"Bearer {self.key}", queue, 1, tickets))
         return tickets.result(0)[0]
 
-    def take(self, kind):
+    def take_sent(self, kind):
         found = [message for message in self.sent if isinstance(message, kind)]
         for message in found:
             self.sent.remove(message)
         return found
 
-    def give_tokens(self):
-        for fetch in self.take(FetchToken):
+    def grant_tokens(self):
+        for fetch in self.take_sent(FetchToken):
             now_ms = self.clock.now_ms()
-            self.post(TokenFetched(worker=fetch.worker, token="t", asked_ms=now_ms))
+            self.post(TokenFetched(worker=fetch.worker, token="t", requested_ms=now_ms))
 
-    def starts(self):
-        return self.take(StartAttempt)
+    def take_starts(self):
+        return self.take_sent(StartAttempt)
 
-    def end(self, start, end=AttemptEnd.RAN, kind="", body=b"done"):
+    def finish_attempt(self, start, end=AttemptOutcome.RAN, kind="", body=b"done"):
         self.post(
             AttemptFinished(
                 task_id=start.task_id,
                 worker=start.worker,
-                end=end,
+                outcome=end,
                 kind=kind,
                 body=body,
                 next_token="t",
-                asked_ms=self.clock.now_ms(),
+                requested_ms=self.clock.now_ms(),
             )
         )
-        self.give_tokens()
+        self.grant_tokens()
