--- a/src/cranberrywheel_load/control_cost.py
+++ b/src/cranberrywheel_load/control_cost.py
@@ -1,11 +1,11 @@
-"""Control cost of entry instances without callers, and how it grows.
+"""Measures the control cost of entry instances without callers, and how it grows.
 
 ``python -m cranberrywheel_load.control_cost`` with ``--seconds`` and ``--sizes``
 starts entry processes on loopback, one per availability zone in turn, lets them
-idle and prints per entry: processor share, memory, bytes a second to peers and to
-the platform, and the store calls a second of the whole fleet. Workers exist only in
-the platform's instance list, because an idle entry does not talk to them. Then it
-prints a least-squares slope for each series with the standard error of the slope.
+run idle and prints per entry: processor time, memory, bytes per second to peers and to
+the platform, and the store calls per second of all entries. Workers exist only in
+the platform's instance list, because an idle entry does not contact them. Then it
+prints a least-squares line for each series with the standard error of the slope.
 """
 
 import argparse
@@ -21,26 +21,29 @@
 from cranberrywheel_load.cluster_plan import ClusterPlan
 from cranberrywheel_standin.http_call import call_json
 
-#: Time in which 14 entries divide the units, which takes many writes, and settle.
-SETTLE_S = 18.0
+#: Time in which 14 entries divide the quota units, which takes many writes, and reach
+#: a steady state.
+STABILIZATION_S = 18.0
 POOLS = 5
-#: (entries, workers, teams) of each series.
+#: Sizes (entries, workers, teams) of each series.
 SERIES = {
     "entries": [(2, 40, 6), (4, 40, 6), (7, 40, 6), (14, 40, 6)],
     "workers": [(4, 40, 6), (4, 500, 6), (4, 2_000, 6)],
     "teams": [(4, 40, 6), (4, 40, 24), (4, 40, 51)],
 }
-AXES = {"entries": 0, "workers": 1, "teams": 2}
+#: Position in the sizes of the value that a series varies.
+SIZE_INDEX_BY_SERIES = {"entries": 0, "workers": 1, "teams": 2}
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ControlCost:
-    """Cost per entry, except ``store_calls_s``, which counts the whole fleet.
+    """Cost per entry, except ``store_calls_s``, which counts the calls of all entries.
 
     :param core_percent: processor time in percent of one core.
-    :param memory_mb: resident memory.
-    :param peer_bytes_s: payload bytes sent to and received from peers.
-    :param platform_bytes_s: payload bytes to and from the platform.
+    :param memory_mb: resident memory in MB (10^6 bytes).
+    :param peer_bytes_s: payload bytes per second sent to and received from peers.
+    :param platform_bytes_s: payload bytes per second to and from the platform.
+    :param store_calls_s: store calls per second.
     """
 
     core_percent: float
@@ -50,19 +53,19 @@
     store_calls_s: float
 
 
-def sized_text(zones: int, workers: int, teams: int) -> str:
-    """Return an operators' text of a given size.
+def build_sized_text(zones: int, workers: int, teams: int) -> str:
+    """Return a configuration text of a given size.
 
-    :param zones: availability zones.
-    :param workers: workers over all pools.
-    :param teams: teams, each with an equal share.
+    :param zones: number of availability zones.
+    :param workers: number of workers in all pools together.
+    :param teams: number of teams, each with an equal share.
     """
     lines = ["[deployment]", "name = control-cost"]
-    lines += [f"[zone z{z}]" for z in range(zones)]
+    lines += [f"[zone z{zone}]" for zone in range(zones)]
     for pool in range(POOLS):
         names = ", ".join(
-            f"w{w}@z{w // POOLS % zones}/r{w // POOLS % zones}"
-            for w in range(pool, workers, POOLS)
+            f"w{worker}@z{worker // POOLS % zones}/r{worker // POOLS % zones}"
+            for worker in range(pool, workers, POOLS)
         )
         lines += [f"[pool p{pool}]", f"workers = {names}", "cores = 32"]
         lines += ["memory_mb = 131072", f"[service s{pool}]", f"pool = p{pool}"]
@@ -88,58 +91,61 @@
             call_json("PUT", f"{self.platform_url}/v1/instances/{worker.name}", row)
 
 
-def _processor_s(pid: int) -> float:
+def _read_processor_s(pid: int) -> float:
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def _memory_mb(pid: int) -> float:
+def _read_memory_mb(pid: int) -> float:
     pages = int(pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-def _store_calls(cluster: Cluster) -> int:
+def _count_store_calls(cluster: Cluster) -> int:
     counters = call_json("GET", f"{cluster.platform_url}/v1/counters")[1]
     return sum(t.cast(dict[str, int], counters).values())
 
 
-class ControlReader:
-    """Measures the entry processes of a cluster from its creation on.
+class ControlCostMeter:
+    """Measures the entry processes of a cluster, from the creation of the meter.
 
-    Peer and platform traffic is what passes the cluster's relays; calls to workers
-    of other zones pass relays too and count as neither.
+    Peer and platform traffic is counted by the cluster's relays. Calls to workers of
+    other zones also pass relays, but count as neither.
     """
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
         self._pids = [cluster.processes[name].pid for name in cluster.places]
-        self._before = self._read()
+        self._totals_at_start = self._read_totals()
 
-    def _read(self) -> tuple[float, float, int, int, int]:
+    def _read_totals(self) -> tuple[float, float, int, int, int]:
         peer_ports = {place.peer_port for place in self._cluster.places.values()}
         platform_port = int(self._cluster.platform_url.rpartition(":")[2])
         traffic = self._cluster.traffic()
         return (
             time.monotonic(),
-            sum(map(_processor_s, self._pids)),
-            sum(n for port, n in traffic.items() if port in peer_ports),
+            sum(map(_read_processor_s, self._pids)),
+            sum(count for port, count in traffic.items() if port in peer_ports),
             traffic.get(platform_port, 0),
-            _store_calls(self._cluster),
+            _count_store_calls(self._cluster),
         )
 
-    def cost(self) -> ControlCost:
-        """Return the mean cost since the creation."""
-        length_s, processor_s, peer, platform, calls = (
-            b - a for a, b in zip(self._before, self._read(), strict=True)
+    def compute_cost(self) -> ControlCost:
+        """Return the mean cost since the creation of the meter."""
+        elapsed_s, processor_s, peer_bytes, platform_bytes, calls = (
+            end - start
+            for start, end in zip(
+                self._totals_at_start, self._read_totals(), strict=True
+            )
         )
         entries = len(self._pids)
         return ControlCost(
-            core_percent=100 * processor_s / length_s / entries,
-            memory_mb=sum(map(_memory_mb, self._pids)) / entries,
-            # Each exchange is paid by the entry that asks and by the one that answers.
-            peer_bytes_s=2 * peer / length_s / entries,
-            platform_bytes_s=platform / length_s / entries,
-            store_calls_s=calls / length_s,
+            core_percent=100 * processor_s / elapsed_s / entries,
+            memory_mb=sum(map(_read_memory_mb, self._pids)) / entries,
+            # An exchange costs both the calling and the answering entry its bytes.
+            peer_bytes_s=2 * peer_bytes / elapsed_s / entries,
+            platform_bytes_s=platform_bytes / elapsed_s / entries,
+            store_calls_s=calls / elapsed_s,
         )
 
 
@@ -148,11 +154,11 @@
 ) -> ControlCost:
     """Run entry instances without callers and measure their control cost.
 
+    :param seconds: length of the measurement, after the stabilization.
     :param interval_ms: time between two exchanges with peers.
-    :param seconds: length of the measurement after the start has settled.
     """
     zones = min(entries, 4)
-    text = sized_text(zones, workers, teams)
+    text = build_sized_text(zones, workers, teams)
     plan = ClusterPlan(
         text=text,
         entry_zones=tuple(f"z{i % zones}" for i in range(entries)),
@@ -164,30 +170,34 @@
         _IdleCluster(plan, pathlib.Path(folder)) as cluster,
     ):
         cluster.apply_text(text)
-        time.sleep(SETTLE_S)
-        reader = ControlReader(cluster)
+        time.sleep(STABILIZATION_S)
+        meter = ControlCostMeter(cluster)
         time.sleep(seconds)
-        return reader.cost()
+        return meter.compute_cost()
 
 
-def fit(points: t.Sequence[tuple[float, float]]) -> tuple[float, float, float]:
+def fit_line(points: t.Sequence[tuple[float, float]]) -> tuple[float, float, float]:
     """Fit a line by least squares.
 
     :param points: at least three (x, y) pairs.
-    :returns: value at x = 0, slope, standard error of the slope.
+    :returns: intercept (value at x = 0), slope, standard error of the slope.
     """
-    n = len(points)
-    mean_x = sum(x for x, _ in points) / n
-    mean_y = sum(y for _, y in points) / n
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
-    start = mean_y - slope * mean_x
-    rest = sum((y - start - slope * x) ** 2 for x, y in points)
-    return start, slope, math.sqrt(rest / (n - 2) / spread)
+    count = len(points)
+    mean_x = sum(x for x, _ in points) / count
+    mean_y = sum(y for _, y in points) / count
+    squared_deviations = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / squared_deviations
+    intercept = mean_y - slope * mean_x
+    squared_residuals = sum((y - intercept - slope * x) ** 2 for x, y in points)
+    return (
+        intercept,
+        slope,
+        math.sqrt(squared_residuals / (count - 2) / squared_deviations),
+    )
 
 
 def main(arguments: t.Sequence[str] | None = None) -> None:
-    """Measure the chosen series and print figures and slopes."""
+    """Measure the selected series; print the costs and the fitted lines."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--interval-ms", type=int, default=500)
@@ -199,17 +209,18 @@
             for size in SERIES[series]
         ]
         for size, cost in zip(SERIES[series], costs, strict=True):
-            figures = dataclasses.asdict(cost).items()
-            values = " ".join(f"{name}={value:.2f}" for name, value in figures)
+            costs_by_name = dataclasses.asdict(cost).items()
+            values = " ".join(f"{name}={value:.2f}" for name, value in costs_by_name)
             print("entries={} workers={} teams={}".format(*size), values, flush=True)
         for field in dataclasses.fields(ControlCost):
             points = [
-                (size[AXES[series]], getattr(cost, field.name))
+                (size[SIZE_INDEX_BY_SERIES[series]], getattr(cost, field.name))
                 for size, cost in zip(SERIES[series], costs, strict=True)
             ]
-            start, slope, error = fit(points)
+            intercept, slope, error = fit_line(points)
             print(
-                f"  {field.name}: {start:.2f} + {slope:.4f} +- {error:.4f} x {series}"
+                f"  {field.name}: {intercept:.2f} + {slope:.4f} +- {error:.4f}"
+                f" x {series}"
             )
 
 
--- a/src/cranberrywheel_load/decision_cost.py
+++ b/src/cranberrywheel_load/decision_cost.py
@@ -1,7 +1,7 @@
-"""Micro-benchmark of the decisions that each request needs.
+"""Micro-benchmark of the scheduling decisions for one request.
 
-Run ``python -m cranberrywheel_load.decision_cost``. It prints microseconds per request
-for growing numbers of workers and teams, with fixed seeds.
+Run ``python -m cranberrywheel_load.decision_cost``. It prints microseconds of processor
+time per request for growing numbers of workers and teams, with a fixed seed.
 """
 
 import argparse
@@ -25,13 +25,14 @@
 SLOTS = 8
 WORKER_COUNTS = (16, 64, 250, 1_000, 2_000)
 TEAM_COUNTS = (6, 12, 25, 51)
-#: Waiting requests per team, so that each decision sees every team.
+#: Waiting requests per team at the start, so that each decision considers every team.
 QUEUED_PER_TEAM = 4
+#: Fraction of the slots in use at the start.
 BUSY_FRACTION = 0.7
 
 
 def make_workers(count: int, pool: str = "pool") -> list[WorkerRow]:
-    """Return workers spread over the zones, four to a rack.
+    """Return rows of workers spread over the zones, four to a rack.
 
     :param count: number of workers.
     :param pool: pool of all of them.
@@ -53,10 +54,9 @@
 def make_request(number: int, team: str, now_ms: int, **changes: t.Any) -> Request:
     """Return an idempotent request with a deadline of 30 s.
 
-    :param number: makes the id unique.
-    :param team: its team.
-    :param now_ms: arrival.
-    :param changes: other values for fields of the request.
+    :param number: part of the request id; every twentieth request is urgent.
+    :param now_ms: time of arrival.
+    :param changes: values that replace the defaults of the fields.
     """
     values: dict[str, t.Any] = {
         "request_id": f"request-{number}",
@@ -73,15 +73,17 @@
     return Request(**(values | changes))
 
 
-class _Path:
-    """All decision state of one entry with a steady load."""
+class _DecisionBenchmark:
+    """Scheduling state of one entry under steady load.
+
+    :param blocked: whether all teams but the first are at their limit.
+    """
 
     def __init__(self, workers: int, teams: int, blocked: bool) -> None:
         self.rng = random.Random(SEED)
         self.teams = [f"team-{number}" for number in range(teams)]
         self.shares = dict.fromkeys(self.teams, 1 / teams)
-        self.use = dict.fromkeys(self.teams, 0)
-        # With ``blocked``, all teams but the first are at their limit.
+        self.running_by_team = dict.fromkeys(self.teams, 0)
         limit = 0 if blocked else workers * SLOTS
         self.limits = dict.fromkeys(self.teams, limit) | {
             self.teams[0]: workers * SLOTS
@@ -103,28 +105,28 @@
     def _start(self, request: Request, now_ms: int) -> None:
         worker = self.table.choose("pool", now_ms)
         if worker is None:
-            raise RuntimeError("the benchmark keeps free slots")
+            raise RuntimeError("no worker has a free slot; lower BUSY_FRACTION")
         if self.table.get_token(worker.name, now_ms) is None:
             self.table.set_token(worker.name, "token", now_ms)
         self.table.record_start(worker.name, now_ms)
-        self.use[request.team] += 1
+        self.running_by_team[request.team] += 1
         self.running.append((worker.name, request, now_ms))
 
     def step(self, now_ms: int) -> None:
-        """Admit, start and finish one request."""
+        """Admit one request, start one and end one."""
         number = next(self.numbers)
         self.budget.record_request(now_ms)
         self.estimates.estimate_wait_ms("queue", 100, len(self.queue), SLOTS)
-        self.queue.push(make_request(number, self.arriving_team(number), now_ms))
+        self.queue.push(make_request(number, self.choose_arriving_team(number), now_ms))
         self.table.has_capacity("pool", now_ms)
         request = self.queue.pop(
             now_ms,
             self.shares,
-            self.use,
-            lambda team: self.use[team] < self.limits[team],
+            self.running_by_team,
+            lambda team: self.running_by_team[team] < self.limits[team],
         )
         if request is None:
-            raise RuntimeError("the first team is never at its limit")
+            raise RuntimeError("no request could start below its team's limit")
         self._start(request, now_ms)
         position = int(self.rng.random() * len(self.running))
         self.running[position], self.running[-1] = (
@@ -132,37 +134,37 @@
             self.running[position],
         )
         worker, request, started_ms = self.running.pop()
-        self.use[request.team] -= 1
+        self.running_by_team[request.team] -= 1
         verdict = AttemptVerdict.FAILED if number % 50 == 0 else AttemptVerdict.OK
         self.table.record_end(worker, verdict, now_ms - started_ms, now_ms)
         self.estimates.record("queue", now_ms - started_ms, 1.0, 64)
 
-    def arriving_team(self, number: int) -> str:
-        """Return the team of the next arrival; it keeps the queue length steady."""
+    def choose_arriving_team(self, number: int) -> str:
+        """Return the team of the next arrival; keeps the queue length steady."""
         blocked = self.limits[self.teams[-1]] == 0
         return self.teams[0 if blocked else number % len(self.teams)]
 
 
-def cost_us(workers: int, teams: int, blocked: bool, requests: int) -> float:
-    """Measure the decisions of one request.
+def measure_cost_us(workers: int, teams: int, blocked: bool, requests: int) -> float:
+    """Measure the mean cost of the decisions for one request.
 
     :param workers: workers in the pool.
     :param teams: teams with waiting requests.
     :param blocked: whether all teams but one are at their limit.
-    :param requests: number of requests.
-    :returns: microseconds of processor time.
+    :param requests: number of requests to process.
+    :returns: microseconds of processor time per request.
     """
-    path = _Path(workers, teams, blocked)
+    benchmark = _DecisionBenchmark(workers, teams, blocked)
     start_ns = time.process_time_ns()
     for number in range(requests):
-        path.step(number // 2)
+        benchmark.step(number // 2)
     return (time.process_time_ns() - start_ns) / 1000 / requests
 
 
 def main(arguments: list[str] | None = None) -> None:
     """Print the cost per request.
 
-    :param arguments: command line arguments, for tests.
+    :param arguments: command line arguments; by default those of the process.
     """
     parser = argparse.ArgumentParser(prog="python -m cranberrywheel_load.decision_cost")
     parser.add_argument("--requests", type=int, default=2_000)
@@ -173,10 +175,10 @@
     cases += [
         (250, teams, blocked) for blocked in (False, True) for teams in TEAM_COUNTS
     ]
-    # Other processes share the machine. The least of interleaved repetitions is
-    # disturbed least, and a slow period does not fall on one case alone.
+    # Other processes share the machine. The minimum of several repetitions is least
+    # affected by them, and interleaving the cases spreads a slow period over all.
     costs = [
-        [cost_us(*case, options.requests) for case in cases]
+        [measure_cost_us(*case, options.requests) for case in cases]
         for _ in range(options.repeats)
     ]
     for (workers, teams, blocked), cost in zip(
--- a/src/cranberrywheel_load/fortnight.py
+++ b/src/cranberrywheel_load/fortnight.py
@@ -1,9 +1,10 @@
-"""Runs a seeded fortnight of plans through the pure decisions, with failures.
+"""Simulates the fleet planner over a fortnight with faults drawn from a seed.
 
 ``python -m cranberrywheel_load.fortnight [--seed N] [--runs N] [--size today|planned]
-[--tighter N]`` prints the four measures and the budget violations of the planner and
-of a baseline: one worker at a time per pool, declared sizes as fixed buffers. It is one
-bounded loop over plan steps; requests, networks and processes are not simulated.
+[--tighter N]`` prints four metrics and the availability budget violations of the
+planner and of a baseline, which maintains one worker at a time per pool and keeps the
+declared pool sizes. It runs the planning functions in a loop over plan steps; requests,
+networks and processes are not simulated.
 """
 
 import argparse
@@ -23,34 +24,36 @@
 from cranberrywheel.process.waves import is_maintenance_due, plan_round
 from cranberrywheel.version.configuration import Configuration, parse_configuration
 from cranberrywheel_load.fortnight_faults import FaultSchedule, build_schedule
-from cranberrywheel_load.fortnight_measures import Measures
-from cranberrywheel_load.fortnight_world import World
-from cranberrywheel_load.planned_scale import planned_text
+from cranberrywheel_load.fortnight_fleet import SimulatedFleet
+from cranberrywheel_load.fortnight_measures import FortnightMetrics
+from cranberrywheel_load.planned_scale import build_planned_text
 
 FORTNIGHT_MS = 14 * 24 * 3_600_000
-#: The instance list lags by up to one step, and a step bounds a drain's reaction.
+#: Time between two plan steps. The instance list lags by up to one step, and a drain
+#: reacts to changes only at a step.
 STEP_MS_BY_SIZE = {"today": 2 * 60_000, "planned": 5 * 60_000}
-SIZING_STEPS = 30
+#: Pool sizes are chosen anew every this many steps.
+SIZING_INTERVAL_STEPS = 30
 
-Policy = t.Callable[[Configuration, Fleet, Sizing], Plan]
+PlanningPolicy = t.Callable[[Configuration, Fleet, Sizing], Plan]
 
 
 def plan_one_at_a_time(
     configuration: Configuration, fleet: Fleet, sizing: Sizing
 ) -> Plan:
-    """Baseline: maintain one worker at a time per pool and never change sizes."""
-    busy, take = set(), {}
+    """Baseline policy: maintain one worker at a time per pool, never move workers."""
+    busy_pools, take = set(), {}
     instances = fleet.instances_by_name.values()
     for instance in instances:
         if instance.assignment.state is not InstanceState.SERVING:
-            busy.add(instance.pool)
+            busy_pools.add(instance.pool)
     for instance in instances:
         if (
-            instance.pool not in busy
+            instance.pool not in busy_pools
             and instance.live
             and is_maintenance_due(configuration, instance.maintained_ms, fleet.now_ms)
         ):
-            busy.add(instance.pool)
+            busy_pools.add(instance.pool)
             take[instance.name] = ""
     return Plan(sizing=sizing, take=take)
 
@@ -58,37 +61,42 @@
 def run_fortnight(
     configuration: Configuration,
     schedule: FaultSchedule,
-    policy: Policy,
+    policy: PlanningPolicy,
     step_ms: int,
     duration_ms: int = FORTNIGHT_MS,
-) -> Measures:
-    """Run one fortnight, or a part of it.
+) -> FortnightMetrics:
+    """Simulate a fortnight, or a part of it.
 
-    :param schedule: failures, the same for each policy.
-    :param policy: decides what each step starts.
+    :param schedule: faults and batch jobs, the same for each policy.
+    :param policy: returns the plan of each step.
+    :param step_ms: time between two plan steps.
+    :param duration_ms: simulated time.
     """
     clock = ManualClock()
-    world = World(configuration, schedule)
-    needs = compute_pool_demands(configuration, {})
-    measures = Measures(configuration, needs, min_healthy_by_pool(configuration))
+    simulated_fleet = SimulatedFleet(configuration, schedule)
+    demands_by_pool = compute_pool_demands(configuration, {})
+    metrics = FortnightMetrics(
+        configuration, demands_by_pool, min_healthy_by_pool(configuration)
+    )
     sizing: Sizing | None = None
     for step in range(duration_ms // step_ms):
         now_ms = clock.now_ms()
-        world.apply_faults(now_ms)
-        fleet = world.fleet(now_ms)
-        if sizing is None or step % SIZING_STEPS == 0:
+        simulated_fleet.apply_faults(now_ms)
+        fleet = simulated_fleet.build_fleet_view(now_ms)
+        if sizing is None or step % SIZING_INTERVAL_STEPS == 0:
             sizing = choose_sizes(build_problem(configuration, fleet))
-        if world.has_work(now_ms):
-            world.start(policy(configuration, fleet, sizing), now_ms)
-            world.finish_steps(now_ms)
-        measures.note(world, now_ms)
+        if simulated_fleet.has_work(now_ms):
+            simulated_fleet.apply_plan(policy(configuration, fleet, sizing), now_ms)
+            simulated_fleet.advance_instances(now_ms)
+        metrics.record_step(simulated_fleet, now_ms)
         clock.advance(step_ms)
-    return measures
+    return metrics
 
 
-def _texts(size: str, seed: int, tighter: int) -> dict[str, str]:
+def _load_texts(size: str, seed: int, tighter: int) -> dict[str, str]:
+    """Return configuration texts by the name that is printed."""
     if size == "planned":
-        return {"planned size": planned_text(seed, (2, 2, 2, 2))}
+        return {"planned size": build_planned_text(seed, (2, 2, 2, 2))}
     examples = pathlib.Path(__file__).parents[2] / "examples"
     return {
         path.stem: re.sub(
@@ -117,7 +125,7 @@
     )
     options = parser.parse_args(arguments)
     violations = 0
-    policies: dict[str, Policy] = {
+    policies: dict[str, PlanningPolicy] = {
         "planner": plan_round,
         "baseline": plan_one_at_a_time,
     }
@@ -125,14 +133,17 @@
         if options.size not in (size, "both"):
             continue
         for seed in range(options.seed, options.seed + options.runs):
-            for name, text in _texts(size, seed, options.tighter).items():
+            for name, text in _load_texts(size, seed, options.tighter).items():
                 configuration = parse_configuration(text)
                 schedule = build_schedule(configuration, seed)
                 for kind, policy in policies.items():
-                    found = run_fortnight(configuration, schedule, policy, step_ms)
-                    print(f"{name} seed={seed} {kind}: {found.line()}", flush=True)
+                    metrics = run_fortnight(configuration, schedule, policy, step_ms)
+                    print(
+                        f"{name} seed={seed} {kind}: {metrics.format_line()}",
+                        flush=True,
+                    )
                     if kind == "planner":
-                        violations += found.violations
+                        violations += metrics.violations
     return 1 if violations else 0
 
 
--- a/src/cranberrywheel_load/loaded_cost.py
+++ b/src/cranberrywheel_load/loaded_cost.py
@@ -1,9 +1,9 @@
-"""Cost of an entry instance with callers, and its slope per call.
+"""Measures the cost of an entry instance with callers, and the cost per call.
 
 ``python -m cranberrywheel_load.loaded_cost`` starts seven entry processes and the
-workers of examples/kayis-birligi.ini on loopback, sends calls at several scales of
+workers of examples/kayis-birligi.ini on loopback, sends calls at several fractions of
 the text's mean rates, and prints processor time, memory and traffic per entry. The
-value at no calls is the control cost; the slope is the cost of a call.
+fitted value at zero calls is the control cost; the slope is the cost of a call.
 """
 
 import argparse
@@ -16,19 +16,20 @@
 from cranberrywheel.version.configuration import parse_configuration
 from cranberrywheel_load.cluster import Cluster
 from cranberrywheel_load.cluster_plan import ClusterPlan
-from cranberrywheel_load.control_cost import ControlReader, fit
+from cranberrywheel_load.control_cost import ControlCostMeter, fit_line
 from cranberrywheel_load.driver import LoadDriver, monotonic_ms
 from cranberrywheel_load.pattern import LoadPlan, plan_arrivals
 from cranberrywheel_standin.history import HistoryWriter
 
-ENTRIES = 7
-SCALES = (0.02, 0.1, 0.2, 0.3)
+ENTRY_COUNT = 7
+#: Factors on the mean rates of the text.
+RATE_SCALES = (0.02, 0.1, 0.2, 0.3)
 SEED = 5
-TEXT = pathlib.Path("examples/kayis-birligi.ini")
+TEXT_PATH = pathlib.Path("examples/kayis-birligi.ini")
 
 
-def _drive(cluster: Cluster, seconds: float, scale: float) -> int:
-    """Send the calls of one plan; returns their number."""
+def _send_calls(cluster: Cluster, seconds: float, scale: float) -> int:
+    """Send calls at a factor on the mean rates; return their number."""
     rng = random.Random(SEED)
     configuration = parse_configuration(cluster.plan.text)
     keys = cluster.grant_keys()
@@ -46,13 +47,14 @@
     """Run entry instances with callers.
 
     :param scale: factor on the mean rates of the text.
-    :returns: calls a second per entry, and the cost.
+    :param seconds: length of the load.
+    :returns: calls per second and entry, and the cost.
     """
-    text = TEXT.read_text()
+    text = TEXT_PATH.read_text()
     zones = list(parse_configuration(text).regions_by_zone)
     plan = ClusterPlan(
         text=text,
-        entry_zones=tuple(zones[i % len(zones)] for i in range(ENTRIES)),
+        entry_zones=tuple(zones[number % len(zones)] for number in range(ENTRY_COUNT)),
         with_relays=True,
     )
     with (
@@ -61,25 +63,27 @@
     ):
         cluster.apply_text(text)
         time.sleep(10)
-        reader = ControlReader(cluster)
-        calls = _drive(cluster, seconds, scale)
-        cost = reader.cost()
-    return calls / seconds / ENTRIES, cost
+        meter = ControlCostMeter(cluster)
+        calls = _send_calls(cluster, seconds, scale)
+        cost = meter.compute_cost()
+    return calls / seconds / ENTRY_COUNT, cost
 
 
 def main(arguments: t.Sequence[str] | None = None) -> None:
-    """Measure each scale and print figures and the slope per call."""
+    """Measure each rate; print the costs and the processor time per call."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=20.0)
     options = parser.parse_args(arguments)
     points = []
-    print(f"seed={SEED} entries={ENTRIES}")
-    for scale in SCALES:
+    print(f"seed={SEED} entries={ENTRY_COUNT}")
+    for scale in RATE_SCALES:
         rate, cost = measure_loaded(scale, options.seconds)
         points.append((rate, cost.core_percent))
         print(f"calls_per_s={rate:.2f} {cost}", flush=True)
-    start, slope, error = fit(points)
-    print(f"core_percent: {start:.2f} + {slope:.4f} +- {error:.4f} x calls a second")
+    intercept, slope, error = fit_line(points)
+    print(
+        f"core_percent: {intercept:.2f} + {slope:.4f} +- {error:.4f} x calls a second"
+    )
 
 
 if __name__ == "__main__":
--- a/src/cranberrywheel_load/planned_scale.py
+++ b/src/cranberrywheel_load/planned_scale.py
@@ -1,4 +1,4 @@
-"""An operators' text of the size planned in two years, from a seed."""
+"""Generates a configuration text of the scale planned in two years, from a seed."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 def _pool_sections(rng: random.Random, number: int) -> list[str]:
-    """Return pool, service and queues of one number; some pools are overloaded."""
+    """Return one pool with its service and queues; bursts overload some pools."""
     name = f"pool-{number}"
     zones = rng.sample(range(ZONES), ZONES_PER_POOL)
     workers = []
@@ -26,7 +26,8 @@
         f"[pool {name}]\nworkers = {', '.join(workers)}\ncores = 32\n"
         f"memory_mb = 131072\nspare = {spare}\nslots_per_executor = {SLOTS}"
     ]
-    # Services form a graph of five layers of ten, like today's of two or three.
+    # The dependency graph has five layers of ten services; today's graphs have two or
+    # three layers.
     layer = number // 10
     depends_on = (
         [f"pool-{n}" for n in rng.sample(range(layer * 10 - 10, layer * 10), 2)]
@@ -37,11 +38,11 @@
         f"[service {name}]\npool = {name}\nmin_healthy = {rng.choice((15, 24, 30))}\n"
         f"depends_on = {', '.join(depends_on)}"
     )
-    # A burst of the larger queue takes from a third to 1.2 of the pool.
+    # A burst of the larger queue occupies from a third to 1.2 times the pool's slots.
     burst_slots = rng.uniform(0.33, 1.2) * WORKERS_PER_POOL * SLOTS
-    for queue, part in (("urgent", 1.0), ("batch", rng.uniform(0.2, 0.8))):
+    for queue, burst_fraction in (("urgent", 1.0), ("batch", rng.uniform(0.2, 0.8))):
         run_ms = rng.choice((60, 150, 250, 4000))
-        rate = burst_slots / 5 * part * 1000 / run_ms
+        rate = burst_slots / 5 * burst_fraction * 1000 / run_ms
         sections.append(
             f"[queue {queue}-{number}]\nservice = {name}\nrun_ms = {run_ms}\n"
             f"mean_per_second = {rate:.3f}\n"
@@ -51,10 +52,11 @@
     return sections
 
 
-def planned_text(seed: int, weights: tuple[float, float, float, float]) -> str:
-    """Return the text of 2,000 workers, 50 pools, 28 zones and 51 teams.
+def build_planned_text(seed: int, weights: tuple[float, float, float, float]) -> str:
+    """Return a text with 2,000 workers, 50 pools, 28 zones and 51 teams.
 
-    :param weights: of buffer cost, roll-out time, moves and share.
+    :param seed: the same seed gives the same text.
+    :param weights: weights of buffer cost, roll-out time, moves and share.
     """
     rng = random.Random(seed)
     buffer_cost, rollout, moves, share = weights
--- a/tests/test_fortnight.py
+++ b/tests/test_fortnight.py
@@ -13,7 +13,7 @@
 SEED = 4
 
 
-def take_everything(configuration, fleet, sizing):
+def take_all_instances(configuration, fleet, sizing):
     return Plan(sizing=sizing, take=dict.fromkeys(fleet.instances_by_name, ""))
 
 
@@ -26,16 +26,20 @@
             configuration, schedule, policy, STEP_MS, duration_ms=hours * HOUR_MS
         )
 
-    def test_planner_keeps_budgets_through_rack_loss_and_bad_wave(self):
-        # Guards against a breach that the failures of the schedule bring about.
-        found = self.run_hours(plan_round)
-        self.assertEqual(0, found.violations)
-        self.assertIsNotNone(found.rollout_ms)
+    def test_planner_keeps_budgets_through_rack_outage_and_bad_wave(self):
+        # Guards against maintenance that violates an availability budget when a rack
+        # fails or reboots do not complete.
+        metrics = self.run_hours(plan_round)
+        self.assertEqual(0, metrics.violations)
+        self.assertIsNotNone(metrics.rollout_ms)
 
-    def test_violations_of_a_careless_policy_are_counted(self):
-        # Guards against a measure that cannot see a violation.
-        self.assertGreater(self.run_hours(take_everything).violations, 0)
+    def test_violations_of_a_policy_without_budgets_are_counted(self):
+        # Guards against a violation count that is always zero.
+        self.assertGreater(self.run_hours(take_all_instances).violations, 0)
 
     def test_same_seed_gives_the_same_line(self):
-        first, second = (self.run_hours(plan_one_at_a_time).line() for _ in range(2))
+        # Guards against unseeded randomness in the simulation.
+        first, second = (
+            self.run_hours(plan_one_at_a_time).format_line() for _ in range(2)
+        )
         self.assertEqual(first, second)
