--- a/src/cranberrywheel_load/balancer.py
+++ b/src/cranberrywheel_load/balancer.py
@@ -10,7 +10,7 @@
 CHECK_TIMEOUT_MS = 500
 
 
-class Balancer:
+class StandInBalancer:
     """Polls ``/readyz`` on its own thread and chooses among the ready instances.
 
     :param urls: base URLs of all entry instances.
@@ -20,15 +20,15 @@
     def __init__(self, urls: t.Sequence[str], rng: random.Random) -> None:
         self._urls = list(urls)
         self._rng = rng
-        self._ready = list(urls)
+        self._ready_urls = list(urls)
         self._stopped = threading.Event()
         self._threads = [
-            threading.Thread(target=self._watch, args=(url,), daemon=True)
+            threading.Thread(target=self._poll_readiness, args=(url,), daemon=True)
             for url in urls
         ]
         self._lock = threading.Lock()
 
-    def __enter__(self) -> "Balancer":
+    def __enter__(self) -> "StandInBalancer":
         for thread in self._threads:
             thread.start()
         return self
@@ -38,7 +38,7 @@
         for thread in self._threads:
             thread.join()
 
-    def _watch(self, url: str) -> None:
+    def _poll_readiness(self, url: str) -> None:
         while not self._stopped.wait(CHECK_INTERVAL_S):
             try:
                 status, _ = call_json(
@@ -47,13 +47,13 @@
             except NoAnswerError:
                 status = 0
             with self._lock:
-                self._ready = [
+                self._ready_urls = [
                     u
                     for u in self._urls
-                    if (status == 200 if u == url else u in self._ready)
+                    if (status == 200 if u == url else u in self._ready_urls)
                 ]
 
     def choose(self) -> str:
         """Return a ready instance; any, if none is ready."""
         with self._lock:
-            return self._rng.choice(self._ready or self._urls)
+            return self._rng.choice(self._ready_urls or self._urls)
--- a/src/cranberrywheel_load/cluster.py
+++ b/src/cranberrywheel_load/cluster.py
@@ -6,11 +6,11 @@
 import typing as t
 
 from cranberrywheel.version.configuration import Configuration, parse_configuration
-from cranberrywheel_load.cluster_plan import ClusterPlan, EntryPlace
+from cranberrywheel_load.cluster_plan import ClusterPlan, EntryEndpoint
 from cranberrywheel_load.processes import (
     HOST,
     ManagedProcess,
-    free_ports,
+    find_free_ports,
     stop_all,
     wait_until,
 )
@@ -42,7 +42,7 @@
         self.configuration: Configuration = parse_configuration(plan.text)
         self.history = HistoryWriter(str(folder / "load.history"))
         self.processes: dict[str, ManagedProcess] = {}
-        self.places: dict[str, EntryPlace] = {}
+        self.endpoints: dict[str, EntryEndpoint] = {}
         self.worker_addresses: dict[str, str] = {}
         self.platform_url = ""
         self._platform_urls: dict[str, str] = {}
@@ -61,12 +61,14 @@
 
     def stop(self) -> None:
         """Stop every process, planners and entry instances first."""
-        last = ("platform", "workers", "relay")
-        first = [p for n, p in self.processes.items() if n not in last]
-        stop_all(first)
+        stopped_last = ("platform", "workers", "relay")
+        other_processes = [
+            p for n, p in self.processes.items() if n not in stopped_last
+        ]
+        stop_all(other_processes)
         if self._relay is not None:
             self._relay.close()
-        stop_all([p for n, p in self.processes.items() if n in last])
+        stop_all([p for n, p in self.processes.items() if n in stopped_last])
 
     def _start(self) -> None:
         if self.plan.with_relays:
@@ -80,33 +82,33 @@
         for zone in self.plan.planner_zones:
             self.add_planner(zone)
         for name in names:
-            self.wait_alive(name)
+            self.wait_until_alive(name)
 
     # Stand-ins
 
-    def _run(self, name: str, *arguments: str) -> ManagedProcess:
+    def _start_process(self, name: str, *arguments: str) -> ManagedProcess:
         process = ManagedProcess(name, arguments, self.folder)
         self.processes[name] = process
         process.start()
         return process
 
     def _start_platform(self) -> None:
-        (port,) = free_ports(1)
+        (port,) = find_free_ports(1)
         history = str(self.folder / "platform.history")
         module = "cranberrywheel_standin.main"
-        self._run(
+        self._start_process(
             "platform", module, "platform", "--port", str(port), "--history", history
         )
         self.platform_url = f"http://{HOST}:{port}"
         for zone in self.configuration.regions_by_zone:
-            relay_port = self._relayed(port, PLATFORM_ZONE, zone)
+            relay_port = self._add_relay(port, PLATFORM_ZONE, zone)
             self._platform_urls[zone] = f"http://{HOST}:{relay_port}/view/{zone}"
-        self._wait_answer(f"{self.platform_url}/v1/counters", "platform")
+        self._wait_for_answer(f"{self.platform_url}/v1/counters", "platform")
 
     def _start_workers(self) -> None:
         workers = list(self.configuration.workers_by_name.values())
         rows = []
-        for worker, port in zip(workers, free_ports(len(workers)), strict=True):
+        for worker, port in zip(workers, find_free_ports(len(workers)), strict=True):
             self.worker_addresses[worker.name] = f"{HOST}:{port}"
             rows.append(
                 {
@@ -115,7 +117,7 @@
                     "rack": worker.rack,
                     "port": port,
                     "addresses": {
-                        zone: f"{HOST}:{self._relayed(port, worker.zone, zone)}"
+                        zone: f"{HOST}:{self._add_relay(port, worker.zone, zone)}"
                         for zone in self.configuration.regions_by_zone
                     },
                     "slots": worker.slots,
@@ -126,7 +128,7 @@
             )
         config = self.folder / "workers.json"
         config.write_text(json.dumps(rows))
-        process = self._run(
+        process = self._start_process(
             "workers",
             "cranberrywheel_standin.main",
             "worker",
@@ -145,17 +147,17 @@
 
     # Entry instances and planners
 
-    def add_entry(self, name: str, zone: str) -> EntryPlace:
+    def add_entry(self, name: str, zone: str) -> EntryEndpoint:
         """Start an entry instance on new ports."""
-        http_port, peer_port = free_ports(2)
-        place = EntryPlace(
+        http_port, peer_port = find_free_ports(2)
+        place = EntryEndpoint(
             name=name,
             zone=zone,
             http_port=http_port,
             peer_port=peer_port,
-            advertised_peer_port=self._relayed(peer_port, zone),
+            advertised_peer_port=self._add_relay(peer_port, zone),
         )
-        self.places[name] = place
+        self.endpoints[name] = place
         token_file = self.folder / "operator-token"
         token_file.write_text(OPERATOR_TOKEN)
         values = {
@@ -184,28 +186,28 @@
         name: str,
         section: str,
         values: t.Mapping[str, t.Any],
-        changed: t.Mapping[str, t.Mapping[str, t.Any]],
+        overrides: t.Mapping[str, t.Mapping[str, t.Any]],
     ) -> None:
         parser = configparser.ConfigParser(interpolation=None)
         platform = {"url": self._platform_urls[values["zone"]]}
-        for title, part in (
+        for title, section_values in (
             (section, values),
             ("platform", platform),
-            *changed.items(),
+            *overrides.items(),
         ):
             if not parser.has_section(title):
                 parser.add_section(title)
-            for key, value in part.items():
+            for key, value in section_values.items():
                 parser.set(title, key, str(value))
         with (self.folder / f"{name}.ini").open("w") as file:
             parser.write(file)
 
     def _run_program(self, name: str, program: str) -> ManagedProcess:
         settings = str(self.folder / f"{name}.ini")
-        process = self._run(
+        process = self._start_process(
             name, f"cranberrywheel.programs.{program}", "--settings", settings
         )
-        self._tell_owners()
+        self._update_relay_owners()
         return process
 
     def restart(self, name: str) -> None:
@@ -214,28 +216,28 @@
 
     def entry_urls(self) -> list[str]:
         """Return the base URLs of all entry instances."""
-        return [place.url for place in self.places.values()]
+        return [place.url for place in self.endpoints.values()]
 
-    def wait_alive(self, name: str) -> None:
+    def wait_until_alive(self, name: str) -> None:
         """Wait until an entry instance answers."""
-        self._wait_answer(f"{self.places[name].url}/healthz", name)
+        self._wait_for_answer(f"{self.endpoints[name].url}/healthz", name)
 
-    def wait_ready(self, name: str) -> None:
+    def wait_until_ready(self, name: str) -> None:
         """Wait until an entry instance is ready for the load balancer."""
-        url = f"{self.places[name].url}/readyz"
+        url = f"{self.endpoints[name].url}/readyz"
         wait_until(
             lambda: self._status(url) == 200, READY_TIMEOUT_S, f"{name} is ready"
         )
 
-    def _wait_answer(self, url: str, name: str) -> None:
+    def _wait_for_answer(self, url: str, name: str) -> None:
         process = self.processes[name]
 
-        def answered() -> bool:
+        def is_answering() -> bool:
             if not process.is_running():
                 raise RuntimeError(f"{name} exited:\n{process.read_log()[-4000:]}")
             return self._status(url) == 200
 
-        wait_until(answered, READY_TIMEOUT_S, f"{name} answers")
+        wait_until(is_answering, READY_TIMEOUT_S, f"{name} answers")
 
     @staticmethod
     def _status(url: str) -> int:
@@ -246,7 +248,7 @@
 
     # Operators
 
-    def operate(
+    def call_as_operator(
         self,
         method: str,
         path: str,
@@ -255,31 +257,33 @@
         entry: str = "",
     ) -> tuple[int, t.Any]:
         """Send an operator's call to an entry instance; default the first."""
-        place = self.places[entry] if entry else next(iter(self.places.values()))
+        place = self.endpoints[entry] if entry else next(iter(self.endpoints.values()))
         token = f"Authorization: Bearer {OPERATOR_TOKEN}"
         return call_json(
             method, place.url + path, body, (token, *headers), OPERATOR_TIMEOUT_MS
         )
 
-    def apply_text(self, text: str) -> int:
+    def apply_configuration(self, text: str) -> int:
         """Apply an operators' text and wait until every instance has it.
 
         :returns: its text version.
         """
-        _, shown = self.operate("GET", "/v1/configuration")
+        _, shown = self.call_as_operator("GET", "/v1/configuration")
         match = f'If-Match: "{shown["text_version"]}"'
-        status, answer = self.operate("PUT", "/v1/configuration", text, (match,))
+        status, answer = self.call_as_operator(
+            "PUT", "/v1/configuration", text, (match,)
+        )
         if status != 200:
             raise RuntimeError(f"the text was refused with {status}: {answer}")
         for team in parse_configuration(text).teams_by_name.values():
             self.history.write("limit", team=team.name, limit=team.limit)
         version = int(answer["text_version"])
-        self.wait_configuration(lambda shown: shown["text_version"] >= version)
+        self.wait_for_configuration(lambda shown: shown["text_version"] >= version)
         return version
 
     def grant_key(self, team: str) -> str:
         """Create a key; returns the whole key."""
-        status, answer = self.operate("POST", "/v1/keys", {"team": team})
+        status, answer = self.call_as_operator("POST", "/v1/keys", {"team": team})
         if status != 201:
             raise RuntimeError(f"no key for {team}, {status}: {answer}")
         return str(answer["key"])
@@ -287,31 +291,33 @@
     def grant_keys(self) -> dict[str, str]:
         """Create a key for each team and wait until every instance knows them."""
         keys = {team: self.grant_key(team) for team in self.configuration.teams_by_name}
-        self.wait_configuration(lambda shown: len(shown["keys"]) >= len(keys))
+        self.wait_for_configuration(lambda shown: len(shown["keys"]) >= len(keys))
         return keys
 
-    def wait_configuration(self, matches: t.Callable[[t.Any], bool]) -> None:
+    def wait_for_configuration(self, matches: t.Callable[[t.Any], bool]) -> None:
         """Wait until what each instance shows as its configuration matches."""
-        for name in self.places:
+        for name in self.endpoints:
             wait_until(
                 lambda name=name: matches(
-                    self.operate("GET", "/v1/configuration", entry=name)[1]
+                    self.call_as_operator("GET", "/v1/configuration", entry=name)[1]
                 ),
                 READY_TIMEOUT_S,
                 f"{name} has the new configuration",
             )
 
-    def wait_units(self) -> None:
+    def wait_for_quota_units(self) -> None:
         """Wait until every instance holds a unit of every team."""
 
-        def held(name: str) -> bool:
-            _, status = self.operate("GET", "/v1/status", entry=name)
+        def has_quota_units(name: str) -> bool:
+            _, status = self.call_as_operator("GET", "/v1/status", entry=name)
             usable = status["units_usable_by_team"].values()
             return bool(usable) and min(usable) > 0
 
-        for name in self.places:
+        for name in self.endpoints:
             wait_until(
-                lambda name=name: held(name), READY_TIMEOUT_S, f"{name} holds units"
+                lambda name=name: has_quota_units(name),
+                READY_TIMEOUT_S,
+                f"{name} holds units",
             )
 
     # Faults
@@ -328,37 +334,37 @@
     def partition(self, zone: str) -> None:
         """Cut a zone off from all other zones and from the platform."""
         others = {*self.configuration.regions_by_zone, PLATFORM_ZONE} - {zone}
-        self._relays().set_cut((zone, other) for other in sorted(others))
+        self._require_relays().set_cut((zone, other) for other in sorted(others))
 
     def heal(self) -> None:
         """End all partitions."""
-        self._relays().set_cut(())
+        self._require_relays().set_cut(())
 
-    def traffic(self) -> dict[int, int]:
+    def get_relayed_bytes(self) -> dict[int, int]:
         """Return the payload bytes that relays have passed on, by target port."""
-        return self._relays().traffic()
+        return self._require_relays().get_relayed_bytes()
 
-    def _relays(self) -> RelayControl:
+    def _require_relays(self) -> RelayControl:
         if self._relay is None:
             raise RuntimeError("the plan has no relays")
         return self._relay
 
-    def _relayed(self, port: int, zone: str, asking: str = "") -> int:
+    def _add_relay(self, port: int, zone: str, source_zone: str = "") -> int:
         """Return the port that others use for a listening port.
 
         :param asking: the zone that uses it; ``""`` for all.
         """
-        if self._relay is None or asking == zone:
+        if self._relay is None or source_zone == zone:
             return port
-        return self._relay.add(port, zone, asking)
+        return self._relay.add(port, zone, source_zone)
 
-    def _tell_owners(self) -> None:
+    def _update_relay_owners(self) -> None:
         if self._relay is None:
             return
-        zones = {place.name: place.zone for place in self.places.values()}
+        zones = {place.name: place.zone for place in self.endpoints.values()}
         zones |= {f"planner-{zone}": zone for zone in self.plan.planner_zones}
         zones["platform"] = PLATFORM_ZONE
-        self._relay.set_owners(
+        self._relay.set_zones_by_pid(
             {
                 process.pid: zones[name]
                 for name, process in self.processes.items()
--- a/src/cranberrywheel_load/cluster_plan.py
+++ b/src/cranberrywheel_load/cluster_plan.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class EntryPlace:
+class EntryEndpoint:
     """Where an entry instance listens.
 
     :param advertised_peer_port: the port that peers learn; a relay's, if there
--- a/src/cranberrywheel_load/texts.py
+++ b/src/cranberrywheel_load/configuration_reduction.py
@@ -4,11 +4,13 @@
 import io
 
 
-def _names(parser: configparser.ConfigParser, kind: str) -> list[str]:
+def _list_sections(parser: configparser.ConfigParser, kind: str) -> list[str]:
     return [s for s in parser.sections() if s.split()[0] == kind]
 
 
-def reduce_text(text: str, zone_count: int, workers_per_pool: int, slots: int) -> str:
+def reduce_configuration(
+    text: str, zone_count: int, workers_per_pool: int, slots: int
+) -> str:
     """Keep some zones, workers and slots of a text and scale team limits to them.
 
     Workers of a pool are spread over the zones that stay, each in its own rack.
@@ -21,26 +23,28 @@
     """
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_string(text)
-    zone_sections = _names(parser, "zone")
+    zone_sections = _list_sections(parser, "zone")
     for section in zone_sections[zone_count:]:
         parser.remove_section(section)
     zones = [s.split()[1] for s in zone_sections[:zone_count]]
-    slots_before = 0
-    pools = _names(parser, "pool")
+    original_slots = 0
+    pools = _list_sections(parser, "pool")
     for number, section in enumerate(pools):
         pool = section.split()[1]
-        listed = [w for w in parser[section]["workers"].split(",") if w.strip()]
-        slots_before += len(listed) * int(parser[section]["slots_per_executor"])
+        listed_workers = [w for w in parser[section]["workers"].split(",") if w.strip()]
+        original_slots += len(listed_workers) * int(
+            parser[section]["slots_per_executor"]
+        )
         parser[section]["slots_per_executor"] = str(slots)
         parser[section]["workers"] = ", ".join(
             f"{pool}-{i + 1}@{zones[(i + number) % len(zones)]}/{pool}-rack-{i + 1}"
             for i in range(workers_per_pool)
         )
-    for section in _names(parser, "service"):
+    for section in _list_sections(parser, "service"):
         parser[section]["min_healthy"] = "1"
-    kept = len(pools) * workers_per_pool * slots / slots_before
-    for section in _names(parser, "team"):
-        limit = round(int(parser[section]["limit"]) * kept)
+    kept_capacity = len(pools) * workers_per_pool * slots / original_slots
+    for section in _list_sections(parser, "team"):
+        limit = round(int(parser[section]["limit"]) * kept_capacity)
         parser[section]["limit"] = str(max(limit, 1))
     output = io.StringIO()
     parser.write(output)
--- a/src/cranberrywheel_load/control_cost.py
+++ b/src/cranberrywheel_load/control_cost.py
@@ -112,18 +112,18 @@
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
-        self._pids = [cluster.processes[name].pid for name in cluster.places]
+        self._pids = [cluster.processes[name].pid for name in cluster.endpoints]
         self._before = self._read()
 
     def _read(self) -> tuple[float, float, int, int, int]:
-        peer_ports = {place.peer_port for place in self._cluster.places.values()}
+        peer_ports = {place.peer_port for place in self._cluster.endpoints.values()}
         platform_port = int(self._cluster.platform_url.rpartition(":")[2])
-        traffic = self._cluster.traffic()
+        relayed_bytes = self._cluster.get_relayed_bytes()
         return (
             time.monotonic(),
             sum(map(_processor_s, self._pids)),
-            sum(n for port, n in traffic.items() if port in peer_ports),
-            traffic.get(platform_port, 0),
+            sum(n for port, n in relayed_bytes.items() if port in peer_ports),
+            relayed_bytes.get(platform_port, 0),
             _store_calls(self._cluster),
         )
 
@@ -163,7 +163,7 @@
         tempfile.TemporaryDirectory() as folder,
         _IdleCluster(plan, pathlib.Path(folder)) as cluster,
     ):
-        cluster.apply_text(text)
+        cluster.apply_configuration(text)
         time.sleep(SETTLE_S)
         reader = ControlReader(cluster)
         time.sleep(seconds)
--- a/src/cranberrywheel_load/demo.py
+++ b/src/cranberrywheel_load/demo.py
@@ -15,19 +15,19 @@
 from cranberrywheel_load.driver import LoadDriver, monotonic_ms
 from cranberrywheel_load.pattern import LoadPlan, plan_arrivals
 from cranberrywheel_load.processes import WaitTimeoutError, wait_until
-from cranberrywheel_load.report import queue_table, summarize
+from cranberrywheel_load.report import format_queue_table, summarize
 from cranberrywheel_standin.http_call import call_json
 
-EXAMPLE = (
+EXAMPLE_PATH = (
     pathlib.Path(__file__).parents[2].joinpath("examples", "maclachlan-rennie.ini")
 )
 ZONES = ("glasgow", "edinburgh", "stirling")
 SEED = 1
 #: longest wait for the planners' steps; the whole demo ends within a minute.
-STEP_WAIT_S = 12.0
-WITHDRAWAL_WAIT_S = 10.0
-LOAD = LoadPlan(duration_ms=4_000, surge_ms=1_000, scale=0.3, cancel_fraction=0.6)
-OLD_LIMIT, NEW_LIMIT = "share = 0.15\nlimit = 64", "share = 0.15\nlimit = 80"
+STEP_TIMEOUT_S = 12.0
+REVOCATION_TIMEOUT_S = 10.0
+LOAD = LoadPlan(duration_ms=4_000, burst_ms=1_000, scale=0.3, cancel_fraction=0.6)
+OLD_LIMIT_TEXT, NEW_LIMIT_TEXT = "share = 0.15\nlimit = 64", "share = 0.15\nlimit = 80"
 
 
 class Demo:
@@ -37,11 +37,13 @@
         self.cluster = cluster
         self._started_s = time.monotonic()
 
-    def say(self, text: str) -> None:
+    def print_heading(self, text: str) -> None:
         """Print a heading with the time since the start."""
         print(f"\n[{time.monotonic() - self._started_s:5.1f} s] {text}", flush=True)
 
-    def operator(self, *arguments: str, instances: int | None = None) -> str:
+    def run_operator_command(
+        self, *arguments: str, instances: int | None = None
+    ) -> str:
         """Run ``cranberrywheel``, print its command and output.
 
         :param instances: how many entry instances to name; default all.
@@ -50,63 +52,72 @@
         urls = self.cluster.entry_urls()[:instances]
         entries = [x for url in urls for x in ("--entry", url)]
         token_file = str(self.cluster.folder / "operator-token")
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "cranberrywheel.programs.operator", *arguments]
             + [*entries, "--token-file", token_file],
             capture_output=True,
             text=True,
-            timeout=STEP_WAIT_S * 2,
+            timeout=STEP_TIMEOUT_S * 2,
             env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)},
         )
-        print("  " + (done.stdout + done.stderr).strip().replace("\n", "\n  "))
-        return done.stdout.strip()
+        print(
+            "  " + (completed.stdout + completed.stderr).strip().replace("\n", "\n  ")
+        )
+        return completed.stdout.strip()
 
-    def call(self, queue: str, key: str, ticket: str = "") -> tuple[int, t.Any]:
+    def send_call(self, queue: str, key: str, ticket: str = "") -> tuple[int, t.Any]:
         """Send one keyed call and print its answer."""
         headers = [f"Authorization: Bearer {key}"]
         headers += [f"Idempotency-Key: {ticket}"] if ticket else []
         url = self.cluster.entry_urls()[0]
         body = {"request": f"demo-{queue}"}
         status, answer = call_json("POST", f"{url}/v1/queues/{queue}", body, headers)
-        shown = {k: answer[k] for k in ("worker", "kind", "outcome") if k in answer}
-        print(f"  {queue}: {status} {shown}", flush=True)
+        shown_fields = {
+            k: answer[k] for k in ("worker", "kind", "outcome") if k in answer
+        }
+        print(f"  {queue}: {status} {shown_fields}", flush=True)
         return status, answer
 
-    def ticket(self, queue: str, key: str) -> str:
+    def request_ticket(self, queue: str, key: str) -> str:
         """Get one ticket."""
         url = self.cluster.entry_urls()[0] + "/v1/tickets"
         headers = [f"Authorization: Bearer {key}"]
         return str(call_json("POST", url, {"queue": queue}, headers)[1]["tickets"][0])
 
-    def pools(self, zone: str) -> dict[str, t.Any]:
+    def read_zone_pools(self, zone: str) -> dict[str, t.Any]:
         """Return the body of ``pools/<zone>``, or nothing yet."""
         url = f"{self.cluster.platform_url}/v1/kv/pools/{zone}"
         status, answer = call_json("GET", url)
         return dict(json.loads(answer["value"])["body"]) if status == 200 else {}
 
-    def apply(self, text: str, name: str) -> None:
+    def apply_configuration(self, text: str, name: str) -> None:
         """Apply a text through the operators' command line."""
         path = self.cluster.folder / name
         path.write_text(text)
-        self.operator("apply", str(path))
+        self.run_operator_command("apply", str(path))
 
 
 def show_keys(demo: Demo) -> dict[str, str]:
     """Grant keys, send calls, withdraw one key and wait for its refusal."""
-    demo.say("Two teams get keys and send calls; a sale needs a ticket.")
-    keys = {x: demo.operator("grant", x) for x in ("highland-schools", "depot-drivers")}
+    demo.print_heading("Two teams get keys and send calls; a sale needs a ticket.")
+    keys = {
+        x: demo.run_operator_command("grant", x)
+        for x in ("highland-schools", "depot-drivers")
+    }
     schools = keys["highland-schools"]
     wait_until(
-        lambda: demo.call("route-sheets", schools)[0] == 200, STEP_WAIT_S, "first call"
+        lambda: demo.send_call("route-sheets", schools)[0] == 200,
+        STEP_TIMEOUT_S,
+        "first call",
     )
-    ticket = demo.ticket("school-reorders", schools)
-    demo.call("school-reorders", schools, ticket)
-    demo.call("school-reorders", schools)
-    demo.say("The key of depot-drivers is withdrawn.")
-    demo.operator("withdraw", keys["depot-drivers"].partition(".")[0])
+    ticket = demo.request_ticket("school-reorders", schools)
+    demo.send_call("school-reorders", schools, ticket)
+    demo.send_call("school-reorders", schools)
+    demo.print_heading("The key of depot-drivers is withdrawn.")
+    demo.run_operator_command("withdraw", keys["depot-drivers"].partition(".")[0])
     wait_until(
-        lambda: demo.call("route-sheets", keys["depot-drivers"])[0] == 401,
-        WITHDRAWAL_WAIT_S,
+        lambda: demo.send_call("route-sheets", keys["depot-drivers"])[0] == 401,
+        REVOCATION_TIMEOUT_S,
         "withdrawn key is refused",
     )
     return keys
@@ -114,7 +125,9 @@
 
 def show_load(demo: Demo) -> None:
     """Send bursts of calls from every team, most of them cancelled."""
-    demo.say(f"Four seconds of bursts, six calls in ten cancelled; seed={SEED}.")
+    demo.print_heading(
+        f"Four seconds of bursts, six calls in ten cancelled; seed={SEED}."
+    )
     cluster, rng = demo.cluster, random.Random(SEED)
     keys = cluster.grant_keys()
     urls = cluster.entry_urls()
@@ -123,46 +136,61 @@
     )
     arrivals = plan_arrivals(cluster.configuration, LOAD, rng)
     driver.run(arrivals, monotonic_ms() + LOAD.duration_ms + 4_000)
-    print("  " + queue_table(summarize(driver.results)).replace("\n", "\n  "))
+    print("  " + format_queue_table(summarize(driver.results)).replace("\n", "\n  "))
 
 
-def show_edit(demo: Demo) -> None:
+def show_limit_change(demo: Demo) -> None:
     """Change one limit in the text and show that it is in force."""
-    demo.say("The limit of depot-drivers rises in the text.")
-    text = EXAMPLE.read_text()
-    demo.apply(text.replace(OLD_LIMIT, NEW_LIMIT), "higher-limit.ini")
+    demo.print_heading("The limit of depot-drivers rises in the text.")
+    text = EXAMPLE_PATH.read_text()
+    demo.apply_configuration(
+        text.replace(OLD_LIMIT_TEXT, NEW_LIMIT_TEXT), "higher-limit.ini"
+    )
 
 
 def show_planner(demo: Demo) -> None:
     """Start the planners, and wait for a move and for a reboot in a wave."""
-    demo.say("Planners start: they spread the pools over the zones and maintain.")
+    demo.print_heading(
+        "Planners start: they spread the pools over the zones and maintain."
+    )
     for zone in ZONES:
         demo.cluster.add_planner(zone)
     declared = demo.cluster.configuration.workers_by_name
 
-    def moved() -> list[str]:
-        rows = [r for z in ZONES for r in demo.pools(z).get("instances", {}).items()]
+    def list_moved_workers() -> list[str]:
+        rows = [
+            r
+            for z in ZONES
+            for r in demo.read_zone_pools(z).get("instances", {}).items()
+        ]
         return [
             f"{name}: {declared[name].pool} -> {row['pool']}"
             for name, row in rows
             if row["pool"] != declared[name].pool and row["state"] == "serving"
         ]
 
-    def maintained() -> list[str]:
-        return [x for zone in ZONES for x in demo.pools(zone).get("maintained", {})]
+    def list_maintained_workers() -> list[str]:
+        return [
+            x
+            for zone in ZONES
+            for x in demo.read_zone_pools(zone).get("maintained", {})
+        ]
 
-    for what, found in (("moved", moved), ("rebooted in a wave", maintained)):
+    for what, find in (
+        ("moved", list_moved_workers),
+        ("rebooted in a wave", list_maintained_workers),
+    ):
         try:
-            print(f"  {what}: {', '.join(wait_until(found, STEP_WAIT_S, what))}")
+            print(f"  {what}: {', '.join(wait_until(find, STEP_TIMEOUT_S, what))}")
         except WaitTimeoutError as error:
             print(f"  {error}")
-    demo.operator("status", instances=1)
+    demo.run_operator_command("status", instances=1)
 
 
 def main() -> None:
     """Run the demo in a temporary folder."""
     plan = ClusterPlan(
-        text=EXAMPLE.read_text(),
+        text=EXAMPLE_PATH.read_text(),
         entry_zones=ZONES,
         planner_settings={"planner": {"interval_ms": 500}},
     )
@@ -172,13 +200,13 @@
         Cluster(plan, pathlib.Path(folder)) as cluster,
     ):
         demo = Demo(cluster)
-        demo.say("The operators apply their text.")
-        demo.apply(plan.text, EXAMPLE.name)
+        demo.print_heading("The operators apply their text.")
+        demo.apply_configuration(plan.text, EXAMPLE_PATH.name)
         show_keys(demo)
         show_load(demo)
-        show_edit(demo)
+        show_limit_change(demo)
         show_planner(demo)
-        demo.say("Everything stops.")
+        demo.print_heading("Everything stops.")
 
 
 if __name__ == "__main__":
--- a/src/cranberrywheel_load/driver.py
+++ b/src/cranberrywheel_load/driver.py
@@ -18,15 +18,15 @@
 from cranberrywheel_standin.history import HistoryWriter
 
 #: a caller's own timeout is the queue's plus this, so that the entry answers first.
-GRACE_MS = 3_000
+TIMEOUT_MARGIN_MS = 3_000
 CONNECT_TIMEOUT_MS = 1_000
 #: tickets asked for at once, and the stock below which more are asked for.
-TICKET_BATCH = 32
-TICKET_LOW = 8
+TICKET_BATCH_SIZE = 32
+TICKET_REFILL_THRESHOLD = 8
 #: shorter than the ticket lifetime of ten minutes.
-TICKET_MAX_AGE_MS = 300_000
+MAX_TICKET_AGE_MS = 300_000
 #: tries per call, the first one included.
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 RETRY_DELAY_MS = 200
 
 
@@ -76,27 +76,30 @@
     def __init__(self) -> None:
         self._tickets: dict[tuple[str, str], collections.deque[tuple[float, str]]]
         self._tickets = collections.defaultdict(collections.deque)
-        self.asking: set[tuple[str, str]] = set()
+        self.requested: set[tuple[str, str]] = set()
         self.waiting: dict[tuple[str, str], list[tuple[Arrival, int]]]
         self.waiting = collections.defaultdict(list)
 
-    def add(self, use: tuple[str, str], tickets: t.Iterable[str]) -> None:
+    def add(self, stock_key: tuple[str, str], tickets: t.Iterable[str]) -> None:
         """Keep tickets for a team and queue."""
         now = monotonic_ms()
-        self._tickets[use].extend((now, ticket) for ticket in tickets)
+        self._tickets[stock_key].extend((now, ticket) for ticket in tickets)
 
-    def take(self, use: tuple[str, str]) -> str:
+    def take(self, stock_key: tuple[str, str]) -> str:
         """Return a ticket that can still start, or ``""``."""
-        stock = self._tickets[use]
+        stock = self._tickets[stock_key]
         while stock:
             issued_ms, ticket = stock.popleft()
-            if monotonic_ms() - issued_ms < TICKET_MAX_AGE_MS:
+            if monotonic_ms() - issued_ms < MAX_TICKET_AGE_MS:
                 return ticket
         return ""
 
-    def is_low(self, use: tuple[str, str]) -> bool:
+    def needs_refill(self, stock_key: tuple[str, str]) -> bool:
         """Return whether more should be asked for."""
-        return len(self._tickets[use]) < TICKET_LOW and use not in self.asking
+        return (
+            len(self._tickets[stock_key]) < TICKET_REFILL_THRESHOLD
+            and stock_key not in self.requested
+        )
 
 
 class LoadDriver:
@@ -124,8 +127,8 @@
         self._multi = pycurl.CurlMulti()
         self._calls: dict[pycurl.Curl, _Call] = {}
         self._ticket_calls: dict[pycurl.Curl, tuple[tuple[str, str], io.BytesIO]] = {}
-        self._due: list[tuple[float, int, t.Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._scheduled: list[tuple[float, int, t.Callable[[], None]]] = []
+        self._sequence = itertools.count()
         self._prefix = f"{rng.getrandbits(32):08x}"
         self._digests: dict[str, str] = {}
         self.stock = TicketStock()
@@ -135,7 +138,7 @@
         self,
         arrivals: t.Sequence[Arrival],
         end_ms: float,
-        waves_ms: t.Sequence[float] = (),
+        cancellation_times_ms: t.Sequence[float] = (),
     ) -> None:
         """Send all arrivals and wait for their answers.
 
@@ -143,91 +146,95 @@
         :param waves_ms: times from the start at which every open call is cancelled.
         """
         start_ms = monotonic_ms()
-        for wave_ms in waves_ms:
-            self._at(start_ms + wave_ms, self._cancel_all)
+        for cancellation_ms in cancellation_times_ms:
+            self._schedule(start_ms + cancellation_ms, self._cancel_all)
         for arrival in arrivals:
-            self._at(start_ms + arrival.at_ms, self._send, arrival, 1)
-        while self._due or self._calls or self._ticket_calls:
+            self._schedule(start_ms + arrival.at_ms, self._send_arrival, arrival, 1)
+        while self._scheduled or self._calls or self._ticket_calls:
             now = monotonic_ms()
             if now >= end_ms:
                 break
-            while self._due and self._due[0][0] <= now:
-                heapq.heappop(self._due)[2]()
+            while self._scheduled and self._scheduled[0][0] <= now:
+                heapq.heappop(self._scheduled)[2]()
             self._multi.perform()
-            self._collect()
-            next_ms = self._due[0][0] if self._due else now + 100
+            self._process_finished_requests()
+            next_ms = self._scheduled[0][0] if self._scheduled else now + 100
             wait_ms = min(max(next_ms - monotonic_ms(), 0), 100, end_ms - now)
             self._multi.select(wait_ms / 1000)
-        self._abandon()
+        self._close_open_calls()
 
-    def _at(self, due_ms: float, action: t.Callable[..., None], *args: t.Any) -> None:
-        item = (due_ms, next(self._order), lambda: action(*args))
-        heapq.heappush(self._due, item)
+    def _schedule(
+        self, due_ms: float, action: t.Callable[..., None], *args: t.Any
+    ) -> None:
+        item = (due_ms, next(self._sequence), lambda: action(*args))
+        heapq.heappush(self._scheduled, item)
 
-    def _abandon(self) -> None:
+    def _close_open_calls(self) -> None:
         """Close the calls and ticket calls that are still open."""
-        self._due.clear()
+        self._scheduled.clear()
         for curl in list(self._calls):
-            self._finish(self._calls[curl], "broken", kind="run-ended")
+            self._record_result(self._calls[curl], "broken", kind="run-ended")
         for curl in list(self._ticket_calls):
             self._multi.remove_handle(curl)
             curl.close()
         self._ticket_calls.clear()
         for waiting in self.stock.waiting.values():
             for arrival, _ in waiting:
-                self._no_ticket(arrival)
+                self._record_missing_ticket(arrival)
             waiting.clear()
 
     # Tickets
 
-    def _send(self, arrival: Arrival, tries: int) -> None:
+    def _send_arrival(self, arrival: Arrival, tries: int) -> None:
         """Send a call, with a ticket if its queue needs one."""
         if self._configuration.queues_by_name[arrival.queue].idempotent:
-            self._invoke(arrival, "", tries)
+            self._send_call(arrival, "", tries)
             return
-        use = (arrival.team, arrival.queue)
-        ticket = self.stock.take(use)
-        if self.stock.is_low(use):
-            self._ask_tickets(use)
+        stock_key = (arrival.team, arrival.queue)
+        ticket = self.stock.take(stock_key)
+        if self.stock.needs_refill(stock_key):
+            self._request_tickets(stock_key)
         if ticket:
-            self._invoke(arrival, ticket, tries)
+            self._send_call(arrival, ticket, tries)
         else:
-            self.stock.waiting[use].append((arrival, tries))
+            self.stock.waiting[stock_key].append((arrival, tries))
 
-    def _ask_tickets(self, use: tuple[str, str]) -> None:
-        self.stock.asking.add(use)
-        body = json.dumps({"queue": use[1], "count": TICKET_BATCH}).encode()
+    def _request_tickets(self, stock_key: tuple[str, str]) -> None:
+        self.stock.requested.add(stock_key)
+        body = json.dumps({"queue": stock_key[1], "count": TICKET_BATCH_SIZE}).encode()
         url = self._choose_entry() + "/v1/tickets"
-        curl, answer = self._prepare(url, body, use[0], CONNECT_TIMEOUT_MS * 3)
-        self._ticket_calls[curl] = (use, answer)
+        curl, answer = self._create_request(
+            url, body, stock_key[0], CONNECT_TIMEOUT_MS * 3
+        )
+        self._ticket_calls[curl] = (stock_key, answer)
         self._multi.add_handle(curl)
 
-    def _tickets_arrived(self, curl: pycurl.Curl) -> None:
-        use, answer = self._ticket_calls.pop(curl)
-        self.stock.asking.discard(use)
+    def _handle_tickets(self, curl: pycurl.Curl) -> None:
+        stock_key, answer = self._ticket_calls.pop(curl)
+        self.stock.requested.discard(stock_key)
         try:
             tickets = json.loads(answer.getvalue()).get("tickets", [])
         except (ValueError, AttributeError):
             tickets = []
-        self.stock.add(use, tickets)
-        waiting, self.stock.waiting[use] = self.stock.waiting[use], []
+        self.stock.add(stock_key, tickets)
+        waiting, self.stock.waiting[stock_key] = self.stock.waiting[stock_key], []
         for arrival, tries in waiting:
             if tickets:
-                self._send(arrival, tries)
-            elif tries < MAX_TRIES:
+                self._send_arrival(arrival, tries)
+            elif tries < MAX_ATTEMPTS:
                 due_ms = monotonic_ms() + RETRY_DELAY_MS * tries
-                self._at(due_ms, self._send, arrival, tries + 1)
+                self._schedule(due_ms, self._send_arrival, arrival, tries + 1)
             else:
-                self._no_ticket(arrival)
+                self._record_missing_ticket(arrival)
 
-    def _no_ticket(self, arrival: Arrival) -> None:
-        result = self._result(arrival, "", "")
+    def _record_missing_ticket(self, arrival: Arrival) -> None:
+        result = self._create_result(arrival, "", "")
         result.outcome, result.kind = "not-run", "no-ticket"
         self.results.append(result)
 
     # Calls
 
-    def _prepare(
+    def _create_request(
         self,
         url: str,
         body: bytes,
@@ -250,8 +257,8 @@
         curl.setopt(pycurl.HTTPHEADER, sent)
         return curl, answer
 
-    def _result(self, arrival: Arrival, work: str, entry: str) -> CallResult:
-        request = f"{self._prefix}-{next(self._order)}"
+    def _create_result(self, arrival: Arrival, work: str, entry: str) -> CallResult:
+        request = f"{self._prefix}-{next(self._sequence)}"
         return CallResult(
             request=request,
             work=work or request,
@@ -263,18 +270,18 @@
             wanted=arrival.cancel_after_ms is None,
         )
 
-    def _invoke(
+    def _send_call(
         self, arrival: Arrival, ticket: str, tries: int, work: str = ""
     ) -> None:
         entry = self._choose_entry()
-        result = self._result(arrival, ticket or work, entry)
+        result = self._create_result(arrival, ticket or work, entry)
         body = json.dumps({"request": result.request, "run_ms": arrival.run_ms})
         self._digests[result.request] = hashlib.sha256(body.encode()).hexdigest()
         headers = [f"Idempotency-Key: {ticket}"] if ticket else []
         timeout_ms = self._configuration.queues_by_name[arrival.queue].timeout_ms
         url = f"{entry}/v1/queues/{arrival.queue}"
-        curl, answer = self._prepare(
-            url, body.encode(), arrival.team, timeout_ms + GRACE_MS, headers
+        curl, answer = self._create_request(
+            url, body.encode(), arrival.team, timeout_ms + TIMEOUT_MARGIN_MS, headers
         )
         call = _Call(
             arrival=arrival,
@@ -296,10 +303,10 @@
         self._calls[curl] = call
         self._multi.add_handle(curl)
         if arrival.cancel_after_ms is not None:
-            self._at(result.sent_ms + arrival.cancel_after_ms, self._cancel, call)
+            self._schedule(result.sent_ms + arrival.cancel_after_ms, self._cancel, call)
         if arrival.repeat_after_ms is not None and ticket and tries == 1:
             due_ms = result.sent_ms + arrival.repeat_after_ms
-            self._at(due_ms, self._invoke, arrival, ticket, MAX_TRIES)
+            self._schedule(due_ms, self._send_call, arrival, ticket, MAX_ATTEMPTS)
 
     @staticmethod
     def _read_header(call: _Call, line: bytes) -> None:
@@ -309,36 +316,36 @@
 
     def _cancel(self, call: _Call) -> None:
         if call.curl in self._calls:
-            self._finish(call, "cancelled")
+            self._record_result(call, "cancelled")
 
     def _cancel_all(self) -> None:
         for call in list(self._calls.values()):
             call.result.wanted = False
-            self._finish(call, "cancelled")
+            self._record_result(call, "cancelled")
 
-    def _collect(self) -> None:
+    def _process_finished_requests(self) -> None:
         while True:
             queued, done, failed = self._multi.info_read()
             for curl in done:
-                self._completed(curl, "")
+                self._handle_completion(curl, "")
             for curl, _, message in failed:
-                self._completed(curl, message or "broken")
+                self._handle_completion(curl, message or "broken")
             if not queued:
                 return
 
-    def _completed(self, curl: pycurl.Curl, fault: str) -> None:
+    def _handle_completion(self, curl: pycurl.Curl, error_message: str) -> None:
         if curl in self._ticket_calls:
             self._multi.remove_handle(curl)
-            self._tickets_arrived(curl)
+            self._handle_tickets(curl)
             curl.close()
             return
         call = self._calls[curl]
         call.result.status = curl.getinfo(pycurl.RESPONSE_CODE)
-        if fault:
-            self._finish(call, "broken", kind=fault)
+        if error_message:
+            self._record_result(call, "broken", kind=error_message)
         else:
             self._read_answer(call)
-        self._maybe_retry(call)
+        self._retry_if_allowed(call)
 
     def _read_answer(self, call: _Call) -> None:
         try:
@@ -362,9 +369,9 @@
         self._history.write(
             "response", request=call.result.request, outcome=outcome, **fields
         )
-        self._finish(call, outcome, kind=kind)
+        self._record_result(call, outcome, kind=kind)
 
-    def _finish(self, call: _Call, outcome: str, kind: str = "") -> None:
+    def _record_result(self, call: _Call, outcome: str, kind: str = "") -> None:
         del self._calls[call.curl]
         self._multi.remove_handle(call.curl)
         call.curl.close()
@@ -372,12 +379,16 @@
         call.result.done_ms = monotonic_ms()
         self.results.append(call.result)
 
-    def _maybe_retry(self, call: _Call) -> None:
+    def _retry_if_allowed(self, call: _Call) -> None:
         """Send a call again that a caller would: same ticket, another try."""
         refused = call.result.outcome == "not-run" and call.result.status == 503
-        if call.tries >= MAX_TRIES or not (refused or call.result.outcome == "broken"):
+        if call.tries >= MAX_ATTEMPTS or not (
+            refused or call.result.outcome == "broken"
+        ):
             return
         arrival = dataclasses.replace(call.arrival, repeat_after_ms=None)
         due_ms = monotonic_ms() + RETRY_DELAY_MS * call.tries
         tries = call.tries + 1
-        self._at(due_ms, self._invoke, arrival, call.ticket, tries, call.result.work)
+        self._schedule(
+            due_ms, self._send_call, arrival, call.ticket, tries, call.result.work
+        )
--- a/src/cranberrywheel_load/fault_proxy.py
+++ b/src/cranberrywheel_load/fault_proxy.py
@@ -7,8 +7,8 @@
 import threading
 import time
 
-CHUNK_BYTES = 65_536
-POLL_S = 0.05
+READ_BYTES = 65_536
+POLL_INTERVAL_S = 0.05
 #: Linger of zero seconds: closing such a socket resets its connection.
 RESET_LINGER = struct.pack("ii", 1, 0)
 
@@ -36,13 +36,13 @@
     def __init__(self, listen: tuple[str, int], target: tuple[str, int]) -> None:
         self._target = target
         self._listener = socket.create_server(listen, backlog=256)
-        self._listener.settimeout(POLL_S)
+        self._listener.settimeout(POLL_INTERVAL_S)
         self.fault = Fault.NONE
         self.delay_s = 0.0
         self._stopped = False
         self._lock = threading.Lock()
         self._sockets: set[socket.socket] = set()
-        self._thread = threading.Thread(target=self._accept, daemon=True)
+        self._thread = threading.Thread(target=self._accept_connections, daemon=True)
 
     def start(self) -> None:
         """Start to accept."""
@@ -72,7 +72,7 @@
             except OSError:
                 pass  # it was closed by its pump
 
-    def _accept(self) -> None:
+    def _accept_connections(self) -> None:
         while not self._stopped:
             try:
                 client, _ = self._listener.accept()
@@ -80,9 +80,11 @@
                 continue
             except OSError:
                 return  # the proxy stops
-            threading.Thread(target=self._serve, args=(client,), daemon=True).start()
+            threading.Thread(
+                target=self._handle_connection, args=(client,), daemon=True
+            ).start()
 
-    def _serve(self, client: socket.socket) -> None:
+    def _handle_connection(self, client: socket.socket) -> None:
         try:
             if self.fault is Fault.REFUSE:
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_LINGER)
@@ -95,7 +97,7 @@
         with self._lock:
             self._sockets |= {client, server}
         try:
-            self._pump(client, server)
+            self._forward(client, server)
         except (OSError, ValueError):
             pass  # reset by a fault or by one end
         finally:
@@ -104,16 +106,16 @@
             client.close()
             server.close()
 
-    def _pump(self, client: socket.socket, server: socket.socket) -> None:
+    def _forward(self, client: socket.socket, server: socket.socket) -> None:
         selector = selectors.DefaultSelector()
         selector.register(client, selectors.EVENT_READ, server)
         selector.register(server, selectors.EVENT_READ, client)
         with selector:
             while not self._stopped:
-                for key, _ in selector.select(POLL_S):
+                for key, _ in selector.select(POLL_INTERVAL_S):
                     source = key.fileobj
                     assert isinstance(source, socket.socket)
-                    data = source.recv(CHUNK_BYTES)
+                    data = source.recv(READ_BYTES)
                     if not data:
                         return
                     fault = self.fault
@@ -122,17 +124,17 @@
                     if fault is Fault.SILENCE or (
                         fault is Fault.CUT_ANSWERS and source is server
                     ):
-                        self._swallow(client, server)
+                        self._discard_bytes(client, server)
                         return
                     key.data.sendall(data)
 
-    def _swallow(self, client: socket.socket, server: socket.socket) -> None:
+    def _discard_bytes(self, client: socket.socket, server: socket.socket) -> None:
         """Keep a connection open without passing anything on, for good."""
         while not self._stopped and client.fileno() >= 0 and server.fileno() >= 0:
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
             try:
                 client.setblocking(False)
-                if not client.recv(CHUNK_BYTES):
+                if not client.recv(READ_BYTES):
                     return
             except BlockingIOError:
                 continue
--- a/src/cranberrywheel_load/faults.py
+++ b/src/cranberrywheel_load/faults.py
@@ -11,7 +11,7 @@
 #: bound after which a failing or leaving target gets no new work.
 LEAVING_BOUND_MS = 5_000
 #: answers lost per second while the fault lasts.
-LOST_ANSWERS = 3
+LOST_ANSWERS_PER_S = 3
 
 
 @dataclasses.dataclass
@@ -35,7 +35,7 @@
         self.ended.wait(seconds)
 
 
-def no_fault(run: FaultRun) -> None:
+def inject_nothing(run: FaultRun) -> None:
     """Do nothing."""
 
 
@@ -56,7 +56,7 @@
 
 def partition_zone(run: FaultRun) -> None:
     """Cut a zone off for as long as a store outage."""
-    run.cluster.partition(run.cluster.places["entry-2"].zone)
+    run.cluster.partition(run.cluster.endpoints["entry-2"].zone)
     run.wait(run.outage_s)
     run.cluster.heal()
 
@@ -71,7 +71,7 @@
 def lose_answers(run: FaultRun) -> None:
     """Let some writes of each second take effect unanswered."""
     for _ in range(round(run.outage_s)):
-        run.cluster.set_platform_faults(lose_answers=LOST_ANSWERS)
+        run.cluster.set_platform_faults(lose_answers=LOST_ANSWERS_PER_S)
         run.wait(1)
     run.cluster.set_platform_faults()
 
@@ -85,13 +85,13 @@
 
 def replace_entries(run: FaultRun) -> None:
     """Replace the entry instances one after the other by graceful stops."""
-    for name, place in list(run.cluster.places.items()):
+    for name, place in list(run.cluster.endpoints.items()):
         process, start_ms = run.cluster.processes[name], monotonic_ms()
         process.terminate()
         process.wait()
         run.stops.append(PlannedStop(place.url, start_ms, monotonic_ms()))
         run.cluster.restart(name)
-        run.cluster.wait_ready(name)
+        run.cluster.wait_until_ready(name)
 
 
 def kill_entry_without_store(run: FaultRun) -> None:
@@ -105,7 +105,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Row:
+class FaultScenario:
     """One row of the experiment.
 
     :param waves: whether all open calls are cancelled every two seconds.
@@ -114,19 +114,19 @@
 
     name: str
     script: t.Callable[[FaultRun], None]
-    waves: bool = False
-    partitions: bool = False
-
-
-ROWS = (
-    Row("none", no_fault),
-    Row("entry killed", kill_entry),
-    Row("entry paused past its lease", pause_entry),
-    Row("zone partitioned", partition_zone, partitions=True),
-    Row("store down", stop_store),
-    Row("answers lost after the write", lose_answers),
-    Row("one worker fails everything", fail_worker),
-    Row("cancellation wave", no_fault, waves=True),
-    Row("entries replaced", replace_entries),
-    Row("store down and entry killed", kill_entry_without_store),
+    cancels_in_waves: bool = False
+    needs_relays: bool = False
+
+
+SCENARIOS = (
+    FaultScenario("none", inject_nothing),
+    FaultScenario("entry killed", kill_entry),
+    FaultScenario("entry paused past its lease", pause_entry),
+    FaultScenario("zone partitioned", partition_zone, needs_relays=True),
+    FaultScenario("store down", stop_store),
+    FaultScenario("answers lost after the write", lose_answers),
+    FaultScenario("one worker fails everything", fail_worker),
+    FaultScenario("cancellation wave", inject_nothing, cancels_in_waves=True),
+    FaultScenario("entries replaced", replace_entries),
+    FaultScenario("store down and entry killed", kill_entry_without_store),
 )
--- a/src/cranberrywheel_load/loaded_cost.py
+++ b/src/cranberrywheel_load/loaded_cost.py
@@ -59,7 +59,7 @@
         tempfile.TemporaryDirectory() as folder,
         Cluster(plan, pathlib.Path(folder)) as cluster,
     ):
-        cluster.apply_text(text)
+        cluster.apply_configuration(text)
         time.sleep(10)
         reader = ControlReader(cluster)
         calls = _drive(cluster, seconds, scale)
--- a/src/cranberrywheel_load/main.py
+++ b/src/cranberrywheel_load/main.py
@@ -13,15 +13,15 @@
 from cranberrywheel.version.configuration import parse_configuration
 from cranberrywheel_load.driver import LoadDriver, monotonic_ms
 from cranberrywheel_load.experiment import ExperimentPlan, run_experiment
-from cranberrywheel_load.faults import ROWS
+from cranberrywheel_load.faults import SCENARIOS
 from cranberrywheel_load.pattern import LoadPlan, plan_arrivals
-from cranberrywheel_load.report import queue_table, summarize, write_json
+from cranberrywheel_load.report import format_queue_table, summarize, write_json
 from cranberrywheel_load.soak import SoakPlan, run_soak
 from cranberrywheel_standin.history import HistoryWriter
 
 #: time after the last arrival in which answers are waited for.
 ANSWER_WAIT_MS = 20_000
-USAGE = 2
+EXIT_USAGE = 2
 
 
 def read_keys(path: str) -> dict[str, str]:
@@ -36,8 +36,8 @@
     return {team: float(weight) for team, _, weight in pairs}
 
 
-def _value(name: str, text: str, default: str | None = None) -> t.Any:
-    return option(name, None, text, flag=False, default=default)
+def _create_option(name: str, description: str, default: str | None = None) -> t.Any:
+    return option(name, None, description, flag=False, default=default)
 
 
 class RunCommand(Command):
@@ -46,20 +46,22 @@
     name = "run"
     description = "Drive entry instances with bursts, cancellations and retries."
     options = [
-        _value("entries", "Base URLs, separated by commas."),
-        _value("configuration", "The operators' text with queues and teams."),
-        _value("keys", "File of 'team key' lines."),
-        _value("seconds", "Length of the run.", "30"),
-        _value("surge-seconds", "Length of one queue's burst.", "3"),
-        _value("scale", "Factor on the mean rates.", "1"),
-        _value("cancel", "Part of the calls that are cancelled.", "0.6"),
-        _value("repeat", "Part of ticketed calls sent twice.", "0.1"),
-        _value("mix", "Weights as team=weight,...; default the shares.", ""),
-        _value("queues", "Queues to use, separated by commas; default all.", ""),
-        _value("max-calls", "Bound on the calls.", "100000"),
-        _value("seed", "Seed of the random choices.", "1"),
-        _value("json", "File for the summary and each call."),
-        _value("history", "File for the history.", ""),
+        _create_option("entries", "Base URLs, separated by commas."),
+        _create_option("configuration", "The operators' text with queues and teams."),
+        _create_option("keys", "File of 'team key' lines."),
+        _create_option("seconds", "Length of the run.", "30"),
+        _create_option("surge-seconds", "Length of one queue's burst.", "3"),
+        _create_option("scale", "Factor on the mean rates.", "1"),
+        _create_option("cancel", "Part of the calls that are cancelled.", "0.6"),
+        _create_option("repeat", "Part of ticketed calls sent twice.", "0.1"),
+        _create_option("mix", "Weights as team=weight,...; default the shares.", ""),
+        _create_option(
+            "queues", "Queues to use, separated by commas; default all.", ""
+        ),
+        _create_option("max-calls", "Bound on the calls.", "100000"),
+        _create_option("seed", "Seed of the random choices.", "1"),
+        _create_option("json", "File for the summary and each call."),
+        _create_option("history", "File for the history.", ""),
     ]
 
     def handle(self) -> int:
@@ -69,7 +71,7 @@
         rng = random.Random(seed)
         plan = LoadPlan(
             duration_ms=round(float(self.option("seconds")) * 1000),
-            surge_ms=round(float(self.option("surge-seconds")) * 1000),
+            burst_ms=round(float(self.option("surge-seconds")) * 1000),
             scale=float(self.option("scale")),
             cancel_fraction=float(self.option("cancel")),
             repeat_fraction=float(self.option("repeat")),
@@ -88,7 +90,7 @@
         )
         driver.run(arrivals, monotonic_ms() + plan.duration_ms + ANSWER_WAIT_MS)
         summary = {"seed": seed, **summarize(driver.results)}
-        self.line(queue_table(summary))
+        self.line(format_queue_table(summary))
         self.line(f"useful/offered={summary['useful_over_offered']:.3f}")
         if self.option("json"):
             write_json(self.option("json"), summary, driver.results)
@@ -101,36 +103,38 @@
     name = "experiment"
     description = "Run the same load under each fault and print the figures."
     options = [
-        _value("configuration", "An operators' text.", "examples/kayis-birligi.ini"),
-        _value("rows", "Row names, separated by commas; default all.", ""),
-        _value("seconds", "Length of each row's load.", "30"),
-        _value("surge-seconds", "Length of one queue's burst.", "3"),
-        _value("scale", "Factor on the mean rates.", "0.25"),
-        _value("time-scale", "Factor on outage and hold times.", "0.16667"),
-        _value("seed", "Seed of the random choices.", "1"),
-        _value("folder", "New folder for logs and histories.", "experiment"),
-        _value("json", "File for the figures."),
+        _create_option(
+            "configuration", "An operators' text.", "examples/kayis-birligi.ini"
+        ),
+        _create_option("rows", "Row names, separated by commas; default all.", ""),
+        _create_option("seconds", "Length of each row's load.", "30"),
+        _create_option("surge-seconds", "Length of one queue's burst.", "3"),
+        _create_option("scale", "Factor on the mean rates.", "0.25"),
+        _create_option("time-scale", "Factor on outage and hold times.", "0.16667"),
+        _create_option("seed", "Seed of the random choices.", "1"),
+        _create_option("folder", "New folder for logs and histories.", "experiment"),
+        _create_option("json", "File for the figures."),
     ]
 
     def handle(self) -> int:
-        wanted = tuple(filter(None, self.option("rows").split(",")))
-        unknown = set(wanted) - {row.name for row in ROWS}
+        selected = tuple(filter(None, self.option("rows").split(",")))
+        unknown = set(selected) - {scenario.name for scenario in SCENARIOS}
         if unknown:
             self.line_error(f"<error>unknown rows: {', '.join(unknown)}</error>")
-            return USAGE
+            return EXIT_USAGE
         plan = ExperimentPlan(
             text=pathlib.Path(self.option("configuration")).read_text(),
             time_scale=float(self.option("time-scale")),
             load=LoadPlan(
                 duration_ms=round(float(self.option("seconds")) * 1000),
-                surge_ms=round(float(self.option("surge-seconds")) * 1000),
+                burst_ms=round(float(self.option("surge-seconds")) * 1000),
                 scale=float(self.option("scale")),
             ),
             seed=int(self.option("seed")),
             folder=pathlib.Path(self.option("folder")),
         )
-        rows = [row for row in ROWS if not wanted or row.name in wanted]
-        figures = run_experiment(plan, rows, self.line)
+        scenarios = [x for x in SCENARIOS if not selected or x.name in selected]
+        figures = run_experiment(plan, scenarios, self.line)
         if self.option("json"):
             data = {name: dataclasses.asdict(f) for name, f in figures.items()}
             pathlib.Path(self.option("json")).write_text(json.dumps(data, indent=1))
@@ -144,15 +148,15 @@
     description = "Run node processes under random faults; exit 1 if a promise breaks."
     help = "Example: cranberrywheel-load soak --seed 1 --seeds 10 --seconds 12"
     options = [
-        _value("seed", "First seed.", "1"),
-        _value("seeds", "How many seeds, one after the other.", "1"),
-        _value("seconds", "Length of the faults of each seed.", "12"),
-        _value("submissions", "Submissions of each seed.", "40"),
-        _value("folder", "Folder for settings and logs.", "soak"),
+        _create_option("seed", "First seed.", "1"),
+        _create_option("seeds", "How many seeds, one after the other.", "1"),
+        _create_option("seconds", "Length of the faults of each seed.", "12"),
+        _create_option("submissions", "Submissions of each seed.", "40"),
+        _create_option("folder", "Folder for settings and logs.", "soak"),
     ]
 
     def handle(self) -> int:
-        broken = 0
+        failed_seeds = 0
         first = int(self.option("seed"))
         for seed in range(first, first + int(self.option("seeds"))):
             folder = pathlib.Path(self.option("folder")) / f"seed-{seed}"
@@ -167,8 +171,8 @@
             self.line(f"seed={seed} faults={len(faults)} broken={len(violations)}")
             for line in (*faults, *violations) if violations else ():
                 self.line(f"  {line}")
-            broken += bool(violations)
-        return 1 if broken else 0
+            failed_seeds += bool(violations)
+        return 1 if failed_seeds else 0
 
 
 def main() -> None:
--- a/src/cranberrywheel_load/measures.py
+++ b/src/cranberrywheel_load/measures.py
@@ -11,7 +11,7 @@
 from cranberrywheel.version.configuration import Configuration
 from cranberrywheel_load.driver import CallResult
 from cranberrywheel_load.processes import START_LINE
-from cranberrywheel_load.report import percentiles, useful_work
+from cranberrywheel_load.report import compute_percentiles, compute_useful_fraction
 from cranberrywheel_spec.history import check
 from cranberrywheel_spec.history_events import (
     Adopt,
@@ -39,20 +39,20 @@
     """Read all history files of a run, and the adoptions in the logs."""
     events: list[t.Any] = []
     for path in sorted(folder.glob("entry-*.log")):
-        events += adoptions(path.stem, path.read_text(errors="replace"))
+        events += parse_adoptions(path.stem, path.read_text(errors="replace"))
     for path in sorted(folder.glob("*.history")):
         events += parse_lines(path.read_text().splitlines(True), path.name)
     return events
 
 
 #: curl's messages for a connection that was never accepted.
-_NOT_ACCEPTED = re.compile("refused|connect to", re.IGNORECASE)
-_ADOPTED = re.compile(
+_CONNECT_FAILURE = re.compile("refused|connect to", re.IGNORECASE)
+_ADOPTION_LINE = re.compile(
     r"^I(\d{4} [\d:.]+) .*adopted configuration version=(\d+)", re.MULTILINE
 )
 
 
-def adoptions(name: str, log: str) -> list[Adopt]:
+def parse_adoptions(name: str, log: str) -> list[Adopt]:
     """Return the configuration versions that an entry instance logged.
 
     Log lines carry the wall clock, which is converted by its present distance from
@@ -63,8 +63,8 @@
     offset_ms = (time.time_ns() - time.monotonic_ns()) / 1e6
     year = datetime.date.today().year
     events = []
-    for number, part in enumerate(log.split(START_LINE)[1:]):
-        for stamp, version in _ADOPTED.findall(part):
+    for number, process_log in enumerate(log.split(START_LINE)[1:]):
+        for stamp, version in _ADOPTION_LINE.findall(process_log):
             at = datetime.datetime.strptime(f"{year}{stamp}", "%Y%m%d %H:%M:%S.%f")
             events.append(
                 Adopt(
@@ -81,7 +81,7 @@
 """Start, end and team of a running task or of a call that waits."""
 
 
-def mean_counts(
+def compute_mean_counts(
     intervals: t.Iterable[Interval], start_ms: float, end_ms: float
 ) -> dict[str, float]:
     """Return the mean number of open intervals of each team in a window."""
@@ -91,21 +91,21 @@
     return {team: ms / (end_ms - start_ms) for team, ms in open_ms.items() if ms}
 
 
-def closeness(
-    used: t.Mapping[str, float],
+def compute_closeness(
+    used_slots: t.Mapping[str, float],
     demand: t.Mapping[str, float],
     shares: t.Mapping[str, float],
     capacity: float,
 ) -> dict[str, float]:
     """Return min(1, used / min(share x capacity, demand)) of teams with demand."""
     return {
-        team: min(1.0, used.get(team, 0.0) / wanted)
+        team: min(1.0, used_slots.get(team, 0.0) / wanted)
         for team, share in shares.items()
         if (wanted := min(share * capacity, demand.get(team, 0.0))) > 0
     }
 
 
-def _call_intervals(results: t.Sequence[CallResult]) -> dict[str, list[Interval]]:
+def _list_call_intervals(results: t.Sequence[CallResult]) -> dict[str, list[Interval]]:
     """Return intervals by queue, from the first sending of a work to its last end."""
     spans: dict[tuple[str, str, str], tuple[float, float]] = {}
     for result in results:
@@ -118,7 +118,7 @@
     return by_queue
 
 
-def _task_intervals(history: History) -> dict[str, list[Interval]]:
+def _list_task_intervals(history: History) -> dict[str, list[Interval]]:
     by_queue: dict[str, list[Interval]] = collections.defaultdict(list)
     last_ms = history.events[-1].at_ms if history.events else 0.0
     for start in history.select(TaskStart):
@@ -128,16 +128,16 @@
     return by_queue
 
 
-def share_closeness(
+def compute_share_closeness(
     history: History, results: t.Sequence[CallResult], configuration: Configuration
 ) -> dict[str, float]:
     """Return the mean closeness to share of each team over full windows.
 
     A window of a service counts if its calls ask for at least its slots.
     """
-    calls, tasks = _call_intervals(results), _task_intervals(history)
+    calls, tasks = _list_call_intervals(results), _list_task_intervals(history)
     shares = {n: x.share for n, x in configuration.teams_by_name.items()}
-    found: dict[str, list[float]] = collections.defaultdict(list)
+    closeness_by_team: dict[str, list[float]] = collections.defaultdict(list)
     times = [e.at_ms for e in history.select(Invoke)] or [0.0]
     for service in configuration.services_by_name.values():
         pool = configuration.pools_by_name[service.pool]
@@ -152,16 +152,22 @@
         start_ms = min(times)
         while start_ms < max(times):
             window = (start_ms, start_ms + WINDOW_MS)
-            demand = mean_counts(service_calls, *window)
+            demand = compute_mean_counts(service_calls, *window)
             if sum(demand.values()) >= capacity:
-                used = mean_counts(service_tasks, *window)
-                for team, value in closeness(used, demand, shares, capacity).items():
-                    found[team].append(value)
+                used_slots = compute_mean_counts(service_tasks, *window)
+                for team, value in compute_closeness(
+                    used_slots, demand, shares, capacity
+                ).items():
+                    closeness_by_team[team].append(value)
             start_ms += WINDOW_MS
-    return {team: sum(values) / len(values) for team, values in found.items()}
+    return {
+        team: sum(values) / len(values) for team, values in closeness_by_team.items()
+    }
 
 
-def urgent_starts(history: History, configuration: Configuration) -> dict[str, float]:
+def compute_urgent_start_times(
+    history: History, configuration: Configuration
+) -> dict[str, float]:
     """Return percentiles of the time from an urgent call to its first start."""
     waits = []
     for invoke in history.select(Invoke):
@@ -172,13 +178,13 @@
             continue
         if invoke.at_ms == first:
             waits.append(starts[0].at_ms - first)
-    return percentiles(waits)
+    return compute_percentiles(waits)
 
 
-def most_running(history: History) -> dict[str, int]:
+def find_peak_running(history: History) -> dict[str, int]:
     """Return the greatest number of tasks that each team had running at once."""
     changes = []
-    for intervals in _task_intervals(history).values():
+    for intervals in _list_task_intervals(history).values():
         for begin, end, team in intervals:
             changes += [(begin, 1, team), (end, -1, team)]
     running: dict[str, int] = collections.Counter()
@@ -190,19 +196,19 @@
     return dict(most)
 
 
-def most_runs(history: History) -> int:
+def find_max_runs_per_ticket(history: History) -> int:
     """Return the greatest number of starts of one ticket."""
     tickets = {e.ticket for e in history.select(Invoke) if e.ticket}
     return max((len(history.starts_by_work_id.get(x, [])) for x in tickets), default=0)
 
 
-def cut_by_stops(
+def count_calls_cut_by_stops(
     results: t.Sequence[CallResult], stops: t.Sequence[PlannedStop]
 ) -> int:
     """Return calls that a planned stop broke after they were accepted."""
     return sum(
         result.outcome == "broken"
-        and not _NOT_ACCEPTED.search(result.kind)
+        and not _CONNECT_FAILURE.search(result.kind)
         and any(
             s.entry == result.entry and s.start_ms <= result.done_ms <= s.end_ms
             for s in stops
@@ -211,7 +217,7 @@
     )
 
 
-def starts_after_failure(
+def count_starts_after_failure(
     history: History, worker: str, since_ms: float, bound_ms: float
 ) -> int:
     """Return the tasks that started on a failing worker after a bound.
@@ -258,7 +264,7 @@
     violations: list[str]
 
 
-def measure(
+def compute_figures(
     events: list[t.Any],
     results: t.Sequence[CallResult],
     configuration: Configuration,
@@ -272,13 +278,13 @@
     """
     history = History(events)
     verdicts = {v.rule: v for v in check(events)}
-    by_team = share_closeness(history, results, configuration)
-    peak = most_running(history)
+    closeness_by_team = compute_share_closeness(history, results, configuration)
+    peak = find_peak_running(history)
     return Figures(
-        useful=useful_work(results),
-        closeness=min(by_team.values(), default=1.0),
-        urgent_ms=urgent_starts(history, configuration),
-        runs_per_ticket=most_runs(history),
+        useful=compute_useful_fraction(results),
+        closeness=min(closeness_by_team.values(), default=1.0),
+        urgent_ms=compute_urgent_start_times(history, configuration),
+        runs_per_ticket=find_max_runs_per_ticket(history),
         peak=peak,
         over_limit=sorted(
             team
@@ -286,7 +292,7 @@
             if count > configuration.teams_by_name[team].limit
         ),
         false_not_run=len(verdicts["true-not-run"].violations),
-        cut=cut_by_stops(results, stops),
+        cut=count_calls_cut_by_stops(results, stops),
         late_work=late_work + len(verdicts["leaving"].violations),
         violations=[v.format_line() for v in verdicts.values() if v.violations],
     )
--- a/src/cranberrywheel_load/pattern.py
+++ b/src/cranberrywheel_load/pattern.py
@@ -10,7 +10,7 @@
 BURST_FACTOR = 5.0
 IDLE_FACTOR = 0.05
 #: least part of a queue's run time after which a caller cancels.
-MIN_CANCEL_PART = 0.05
+MIN_CANCEL_FRACTION = 0.05
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -30,7 +30,7 @@
     """
 
     duration_ms: int
-    surge_ms: int = 3_000
+    burst_ms: int = 3_000
     scale: float = 1.0
     cancel_fraction: float = 0.6
     repeat_fraction: float = 0.1
@@ -57,26 +57,26 @@
     repeat_after_ms: float | None = None
 
 
-def rate_factor(index: int, count: int, at_ms: float, surge_ms: int) -> float:
+def compute_rate_factor(index: int, count: int, at_ms: float, burst_ms: int) -> float:
     """Return the factor on the mean rate of one of ``count`` queues."""
-    bursting = int(at_ms // surge_ms) % count
+    bursting = int(at_ms // burst_ms) % count
     return BURST_FACTOR if bursting == index else IDLE_FACTOR
 
 
-def _queue_times(
+def _generate_queue_times(
     index: int, queue: Queue, count: int, plan: LoadPlan, rng: random.Random
 ) -> t.Iterator[float]:
     """Yield Poisson arrival times whose rate changes with each surge."""
-    for start_ms in range(0, plan.duration_ms, plan.surge_ms):
-        end_ms = min(start_ms + plan.surge_ms, plan.duration_ms)
-        factor = rate_factor(index, count, start_ms, plan.surge_ms)
+    for start_ms in range(0, plan.duration_ms, plan.burst_ms):
+        end_ms = min(start_ms + plan.burst_ms, plan.duration_ms)
+        factor = compute_rate_factor(index, count, start_ms, plan.burst_ms)
         per_ms = queue.mean_per_second * factor * plan.scale / 1000
         at_ms = float(start_ms)
         while (at_ms := at_ms + rng.expovariate(per_ms)) < end_ms:
             yield at_ms
 
 
-def _arrival(
+def _create_arrival(
     queue: Queue,
     at_ms: float,
     weights_by_team: t.Mapping[str, float],
@@ -88,7 +88,7 @@
         team = rng.choices(list(weights_by_team), list(weights_by_team.values()))[0]
     cancel_after_ms = repeat_after_ms = None
     if rng.random() < plan.cancel_fraction:
-        cancel_after_ms = queue.run_ms * rng.uniform(MIN_CANCEL_PART, 1)
+        cancel_after_ms = queue.run_ms * rng.uniform(MIN_CANCEL_FRACTION, 1)
     if not queue.idempotent and rng.random() < plan.repeat_fraction:
         repeat_after_ms = queue.run_ms * rng.random()
     return Arrival(
@@ -116,11 +116,15 @@
     arrivals = []
     for index, name in enumerate(names):
         queue = configuration.queues_by_name[name]
-        allowed = {n: w for n, w in weights.items() if w and teams[n].may_use(name)}
-        if not allowed and not queue.open_to_all:
+        weights_of_allowed_teams = {
+            n: w for n, w in weights.items() if w and teams[n].may_use(name)
+        }
+        if not weights_of_allowed_teams and not queue.open_to_all:
             continue
-        times = _queue_times(index, queue, len(names), plan, rng)
+        times = _generate_queue_times(index, queue, len(names), plan, rng)
         for at_ms in itertools.islice(times, plan.max_calls):
-            arrivals.append(_arrival(queue, at_ms, allowed, plan, rng))
+            arrivals.append(
+                _create_arrival(queue, at_ms, weights_of_allowed_teams, plan, rng)
+            )
     arrivals.sort(key=lambda arrival: arrival.at_ms)
     return arrivals[: plan.max_calls]
--- a/src/cranberrywheel_load/processes.py
+++ b/src/cranberrywheel_load/processes.py
@@ -11,37 +11,39 @@
 import typing as t
 
 HOST = "127.0.0.1"
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 FIRST_PORT = 10_000
 PORT_COUNT = 20_000
 #: A run of a cluster with all workers and relays takes fewer.
-PORTS_PER_PROCESS = 500
+PORT_STRIDE_PER_PROCESS = 500
 #: how long a process may take to exit after SIGTERM before it is killed.
-EXIT_WAIT_S = 20.0
+EXIT_TIMEOUT_S = 20.0
 
 
 class WaitTimeoutError(Exception):
     """A condition did not become true within its bound."""
 
 
-def wait_until(condition: t.Callable[[], t.Any], timeout_s: float, what: str) -> t.Any:
+def wait_until(
+    condition: t.Callable[[], t.Any], timeout_s: float, description: str
+) -> t.Any:
     """Poll a condition until it is true.
 
     :param what: the condition in words, for the error.
     :returns: the condition's first true value.
     :raises WaitTimeoutError: after ``timeout_s``.
     """
-    end_s = time.monotonic() + timeout_s
+    deadline_s = time.monotonic() + timeout_s
     while True:
         value = condition()
         if value:
             return value
-        if time.monotonic() >= end_s:
-            raise WaitTimeoutError(f"not within {timeout_s:g} s: {what}")
-        time.sleep(POLL_S)
+        if time.monotonic() >= deadline_s:
+            raise WaitTimeoutError(f"not within {timeout_s:g} s: {description}")
+        time.sleep(POLL_INTERVAL_S)
 
 
-def free_ports(count: int, host: str = HOST) -> list[int]:
+def find_free_ports(count: int, host: str = HOST) -> list[int]:
     """Return distinct ports that are free now.
 
     They lie below the range from which the kernel takes the ports of outgoing
@@ -60,13 +62,13 @@
     return ports
 
 
-def _count_ports() -> t.Iterator[int]:
-    first = os.getpid() * PORTS_PER_PROCESS
+def _generate_candidate_ports() -> t.Iterator[int]:
+    first = os.getpid() * PORT_STRIDE_PER_PROCESS
     for number in itertools.count(first):
         yield FIRST_PORT + number % PORT_COUNT
 
 
-_candidate_ports = _count_ports()
+_candidate_ports = _generate_candidate_ports()
 
 
 #: written to a log before each start of its process.
@@ -122,29 +124,29 @@
         """Return whether the process has not exited."""
         return self._process is not None and self._process.poll() is None
 
-    def send(self, number: int) -> None:
+    def send_signal(self, signal_number: int) -> None:
         """Send a signal, if the process still runs."""
         if self.is_running():
-            os.kill(self.pid, number)
+            os.kill(self.pid, signal_number)
 
     def pause(self) -> None:
         """Stop the process with SIGSTOP."""
-        self.send(signal.SIGSTOP)
+        self.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
         """Let a paused process go on."""
-        self.send(signal.SIGCONT)
+        self.send_signal(signal.SIGCONT)
 
     def kill(self) -> None:
         """End the process at once with SIGKILL."""
-        self.send(signal.SIGKILL)
+        self.send_signal(signal.SIGKILL)
         self.wait()
 
     def terminate(self) -> None:
         """Ask for a graceful shutdown and return at once."""
-        self.send(signal.SIGTERM)
+        self.send_signal(signal.SIGTERM)
 
-    def wait(self, timeout_s: float = EXIT_WAIT_S) -> int | None:
+    def wait(self, timeout_s: float = EXIT_TIMEOUT_S) -> int | None:
         """Wait for the exit.
 
         :returns: the exit code, or ``None`` if it still runs.
--- a/src/cranberrywheel_load/relay.py
+++ b/src/cranberrywheel_load/relay.py
@@ -19,13 +19,13 @@
 import typing as t
 
 HOST = "127.0.0.1"
-CHUNK_BYTES = 65_536
+READ_BYTES = 65_536
 #: a process's socket may appear in the tables just after the accept.
-OWNER_LOOKUPS = 20
-OWNER_POLL_S = 0.01
+MAX_OWNER_LOOKUPS = 20
+OWNER_LOOKUP_INTERVAL_S = 0.01
 
 
-def socket_inode(table: str, local_port: int, remote_port: int) -> str:
+def find_socket_inode(table: str, local_port: int, remote_port: int) -> str:
     """Return the inode of a connection in the text of ``/proc/net/tcp``."""
     for line in table.splitlines()[1:]:
         fields = line.split()
@@ -56,13 +56,15 @@
 
     def __init__(self) -> None:
         self.zones_by_pid: dict[int, str] = {}
-        self._cut: frozenset[frozenset[str]] = frozenset()
-        self._healed = asyncio.Event()
+        self._cut_pairs: frozenset[frozenset[str]] = frozenset()
+        self._cut_changed = asyncio.Event()
         self._servers: list[asyncio.Server] = []
         #: Payload bytes in both directions by target port.
         self.bytes_by_target: collections.Counter[int] = collections.Counter()
 
-    async def listen(self, port: int, target_port: int, zone: str, asking: str) -> None:
+    async def listen(
+        self, port: int, target_port: int, zone: str, source_zone: str
+    ) -> None:
         """Relay a port to a target in a zone.
 
         :param asking: zone of all callers, or ``""`` to look each one up.
@@ -73,7 +75,7 @@
         ) -> None:
             try:
                 client_port = writer.get_extra_info("peername")[1]
-                source = asking or await self._source_zone(client_port, port)
+                source = source_zone or await self._find_source_zone(client_port, port)
                 await self._relay(reader, writer, source, target_port, zone)
             except OSError:
                 pass
@@ -84,22 +86,22 @@
 
     def set_cut(self, pairs: t.Iterable[t.Sequence[str]]) -> None:
         """Replace the pairs of zones between which nothing passes."""
-        self._cut = frozenset(frozenset(pair) for pair in pairs)
-        self._healed.set()
-        self._healed = asyncio.Event()
+        self._cut_pairs = frozenset(frozenset(pair) for pair in pairs)
+        self._cut_changed.set()
+        self._cut_changed = asyncio.Event()
 
-    async def _passable(self, source: str, zone: str) -> None:
-        while source != zone and frozenset((source, zone)) in self._cut:
-            await self._healed.wait()
+    async def _wait_until_passable(self, source: str, zone: str) -> None:
+        while source != zone and frozenset((source, zone)) in self._cut_pairs:
+            await self._cut_changed.wait()
 
-    async def _source_zone(self, client_port: int, port: int) -> str:
-        for _ in range(OWNER_LOOKUPS):
+    async def _find_source_zone(self, client_port: int, port: int) -> str:
+        for _ in range(MAX_OWNER_LOOKUPS):
             with open("/proc/net/tcp", encoding="ascii") as file:
-                inode = socket_inode(file.read(), client_port, port)
+                inode = find_socket_inode(file.read(), client_port, port)
             for pid, zone in self.zones_by_pid.items():
                 if inode and owns_socket(pid, inode):
                     return zone
-            await asyncio.sleep(OWNER_POLL_S)
+            await asyncio.sleep(OWNER_LOOKUP_INTERVAL_S)
         return ""
 
     async def _relay(
@@ -110,17 +112,17 @@
         target_port: int,
         zone: str,
     ) -> None:
-        await self._passable(source, zone)
+        await self._wait_until_passable(source, zone)
         target_reader, target_writer = await asyncio.open_connection(HOST, target_port)
         try:
             await asyncio.gather(
-                self._copy(reader, target_writer, source, zone, target_port),
-                self._copy(target_reader, writer, source, zone, target_port),
+                self._copy_bytes(reader, target_writer, source, zone, target_port),
+                self._copy_bytes(target_reader, writer, source, zone, target_port),
             )
         finally:
             target_writer.close()
 
-    async def _copy(
+    async def _copy_bytes(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -128,16 +130,16 @@
         zone: str,
         target_port: int,
     ) -> None:
-        while data := await reader.read(CHUNK_BYTES):
-            await self._passable(source, zone)
+        while data := await reader.read(READ_BYTES):
+            await self._wait_until_passable(source, zone)
             self.bytes_by_target[target_port] += len(data)
             writer.write(data)
             await writer.drain()
-        await self._passable(source, zone)
+        await self._wait_until_passable(source, zone)
         # Closing both ways is enough: neither HTTP nor gRPC uses half-closed sockets.
         writer.close()
 
-    async def obey(self, command: dict[str, t.Any]) -> dict[str, t.Any]:
+    async def execute_command(self, command: dict[str, t.Any]) -> dict[str, t.Any]:
         """Carry out one control command and return its answer."""
         if "listen" in command:
             await self.listen(*command["listen"])
@@ -152,20 +154,20 @@
 
 async def _serve(control_port: int) -> None:
     relays = Relays()
-    ended = asyncio.Event()
+    control_closed = asyncio.Event()
 
-    async def control(
+    async def handle_commands(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         while line := await reader.readline():
-            answer = await relays.obey(json.loads(line))
+            answer = await relays.execute_command(json.loads(line))
             writer.write(json.dumps(answer).encode() + b"\n")
             await writer.drain()
-        ended.set()
+        control_closed.set()
 
-    async with await asyncio.start_server(control, HOST, control_port):
+    async with await asyncio.start_server(handle_commands, HOST, control_port):
         # The relays end with the control connection, that is, with the load tool.
-        await ended.wait()
+        await control_closed.wait()
 
 
 if __name__ == "__main__":
--- a/src/cranberrywheel_load/relay_control.py
+++ b/src/cranberrywheel_load/relay_control.py
@@ -9,11 +9,11 @@
     HOST,
     ManagedProcess,
     WaitTimeoutError,
-    free_ports,
+    find_free_ports,
     wait_until,
 )
 
-CHUNK_BYTES = 65_536
+READ_BYTES = 65_536
 
 
 class RelayControl:
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, folder: pathlib.Path, timeout_s: float) -> None:
-        (port,) = free_ports(1)
+        (port,) = find_free_ports(1)
         arguments = ["cranberrywheel_load.relay", str(port)]
         self.process = ManagedProcess("relay", arguments, folder)
         self.process.start()
@@ -45,35 +45,35 @@
         """End the relay process by closing its control connection."""
         self._connection.close()
 
-    def _command(self, command: dict[str, t.Any]) -> dict[str, t.Any]:
+    def _send_command(self, command: dict[str, t.Any]) -> dict[str, t.Any]:
         self._connection.sendall(json.dumps(command).encode() + b"\n")
         answer = b""
         while not answer.endswith(b"\n"):
-            data = self._connection.recv(CHUNK_BYTES)
+            data = self._connection.recv(READ_BYTES)
             if not data:
                 raise RuntimeError("the relay process has ended")
             answer += data
         return dict(json.loads(answer))
 
-    def traffic(self) -> dict[int, int]:
+    def get_relayed_bytes(self) -> dict[int, int]:
         """Return the payload bytes that relays have passed on, by target port."""
-        answer = self._command({"report": True})
+        answer = self._send_command({"report": True})
         return {int(port): n for port, n in answer["bytes_by_target"].items()}
 
-    def add(self, port: int, zone: str, asking: str) -> int:
+    def add(self, port: int, zone: str, source_zone: str) -> int:
         """Start a relay to a port; returns the relay's port.
 
         :param zone: zone of the target.
         :param asking: zone of all callers, or ``""`` to look each one up.
         """
-        (relay_port,) = free_ports(1)
-        self._command({"listen": [relay_port, port, zone, asking]})
+        (relay_port,) = find_free_ports(1)
+        self._send_command({"listen": [relay_port, port, zone, source_zone]})
         return relay_port
 
     def set_cut(self, pairs: t.Iterable[tuple[str, str]]) -> None:
         """Replace the pairs of zones between which nothing passes."""
-        self._command({"cut": [list(pair) for pair in pairs]})
+        self._send_command({"cut": [list(pair) for pair in pairs]})
 
-    def set_owners(self, zones_by_pid: t.Mapping[int, str]) -> None:
+    def set_zones_by_pid(self, zones_by_pid: t.Mapping[int, str]) -> None:
         """Tell the relay the zone of each process."""
-        self._command({"owners": dict(zones_by_pid)})
+        self._send_command({"owners": dict(zones_by_pid)})
--- a/src/cranberrywheel_load/report.py
+++ b/src/cranberrywheel_load/report.py
@@ -16,20 +16,22 @@
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
-def percentiles(values_ms: t.Iterable[float]) -> dict[str, float]:
+def compute_percentiles(values_ms: t.Iterable[float]) -> dict[str, float]:
     """Return percentiles and the maximum of durations in milliseconds."""
     histogram = HdrHistogram(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
     for value in values_ms:
         histogram.record_value(min(max(round(value), 1), MAX_LATENCY_MS))
-    found = {f"p{p:g}": histogram.get_value_at_percentile(p) for p in PERCENTILES}
+    by_percentile = {
+        f"p{p:g}": histogram.get_value_at_percentile(p) for p in PERCENTILES
+    }
     return {
         "count": histogram.get_total_count(),
-        **found,
+        **by_percentile,
         "max": histogram.get_max_value(),
     }
 
 
-def useful_work(results: t.Sequence[CallResult]) -> float:
+def compute_useful_fraction(results: t.Sequence[CallResult]) -> float:
     """Return the run time answered ``ok`` over the run time asked for.
 
     Only calls that their caller did not plan to cancel count, each work once.
@@ -45,16 +47,16 @@
     for result in results:
         by_queue[result.queue].append(result)
     rows = {}
-    for queue, part in sorted(by_queue.items()):
-        answered = [r.done_ms - r.sent_ms for r in part if r.outcome == "ok"]
-        kinds = collections.Counter(r.kind for r in part if r.kind)
+    for queue, queue_results in sorted(by_queue.items()):
+        answered = [r.done_ms - r.sent_ms for r in queue_results if r.outcome == "ok"]
+        kinds = collections.Counter(r.kind for r in queue_results if r.kind)
         rows[queue] = {
-            "calls": len(part),
-            "outcomes": dict(collections.Counter(r.outcome for r in part)),
+            "calls": len(queue_results),
+            "outcomes": dict(collections.Counter(r.outcome for r in queue_results)),
             "kinds": dict(kinds),
-            "latency_ms": percentiles(answered),
+            "latency_ms": compute_percentiles(answered),
         }
-    return {"useful_over_offered": useful_work(results), "queues": rows}
+    return {"useful_over_offered": compute_useful_fraction(results), "queues": rows}
 
 
 def format_table(header: t.Sequence[str], rows: t.Iterable[t.Sequence[t.Any]]) -> str:
@@ -75,7 +77,7 @@
     )
 
 
-def queue_table(summary: t.Mapping[str, t.Any]) -> str:
+def format_queue_table(summary: t.Mapping[str, t.Any]) -> str:
     """Return the summary as one line for each queue."""
     outcomes = ("ok", "failed", "unknown", "not-run", "broken", "cancelled")
     rows = [
--- a/src/cranberrywheel_load/soak.py
+++ b/src/cranberrywheel_load/soak.py
@@ -17,32 +17,32 @@
 from cranberrywheel.platform.configuration import CONFIGURATION_KEY
 from cranberrywheel.platform.settings import SETTINGS_VARIABLE
 from cranberrywheel_load.fault_proxy import Fault, FaultProxy
-from cranberrywheel_load.processes import ManagedProcess, free_ports, stop_all
+from cranberrywheel_load.processes import ManagedProcess, find_free_ports, stop_all
 from cranberrywheel_standin.platform_server import PlatformServer
 
 PLATFORM_HOST = "127.0.0.1"
-NODES = 3
-EXECUTORS = 4
-EXECUTOR_CPU = 8_000
-SERVICE = "pool"
-HOST_NAME = "shop.example"
-PREFIX = "/q/"
+NODE_COUNT = 3
+EXECUTOR_COUNT = 4
+EXECUTOR_CPU_MILLICORES = 8_000
+SERVICE_NAME = "pool"
+ROUTE_HOST = "shop.example"
+ROUTE_PREFIX = "/q/"
 #: Time from the last fault in which every accepted submission has to end.
-SETTLE_S = 20.0
+COMPLETION_TIMEOUT_S = 20.0
 #: Time in which a fresh deployment has to take its first submission.
-START_S = 15.0
+STARTUP_TIMEOUT_S = 15.0
 CALL_TIMEOUT_MS = 3_000
 FINAL_STATES = {"completed", "failed", "cancelled"}
 
 
 @dataclasses.dataclass
-class Client:
+class TrackedSubmission:
     """What one caller knows of its submission."""
 
     submission_id: str
     tasks: int
     accepted: bool = False
-    maybe_accepted: bool = False
+    possibly_accepted: bool = False
     cancelled: bool = False
     states: list[str] = dataclasses.field(default_factory=list)
 
@@ -61,7 +61,7 @@
     folder: pathlib.Path
 
 
-def call(
+def send_call(
     method: str, address: str, path: str, body: bytes | None = None
 ) -> tuple[int, dict[str, t.Any]]:
     """Make one call as a caller does; status 0 without an answer."""
@@ -69,7 +69,7 @@
     curl.setopt(pycurl.URL, f"http://{address}{path}")
     curl.setopt(pycurl.NOSIGNAL, 1)
     curl.setopt(pycurl.TIMEOUT_MS, CALL_TIMEOUT_MS)
-    curl.setopt(pycurl.HTTPHEADER, [f"Host: {HOST_NAME}", "Expect:"])
+    curl.setopt(pycurl.HTTPHEADER, [f"Host: {ROUTE_HOST}", "Expect:"])
     curl.setopt(pycurl.CUSTOMREQUEST, method)
     if body is not None:
         curl.setopt(pycurl.POSTFIELDS, body)
@@ -93,38 +93,42 @@
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
         self.lock = threading.Lock()
-        ports = iter(free_ports(2 + 2 * EXECUTORS + 5 * NODES))
+        ports = iter(find_free_ports(2 + 2 * EXECUTOR_COUNT + 5 * NODE_COUNT))
         store_port, machines_port = next(ports), next(ports)
         self.platform = PlatformServer(PLATFORM_HOST, store_port, machines_port)
         self.executor_proxies: list[FaultProxy] = []
-        for number in range(EXECUTORS):
-            real, proxied = next(ports), next(ports)
-            proxy = FaultProxy((PLATFORM_HOST, proxied), (PLATFORM_HOST, real))
+        for number in range(EXECUTOR_COUNT):
+            executor_port, proxied_port = next(ports), next(ports)
+            proxy = FaultProxy(
+                (PLATFORM_HOST, proxied_port), (PLATFORM_HOST, executor_port)
+            )
             self.executor_proxies.append(proxy)
             self.platform.add_executor(
                 f"x{number}",
-                SERVICE,
-                real,
-                f"{PLATFORM_HOST}:{proxied}",
-                EXECUTOR_CPU,
+                SERVICE_NAME,
+                executor_port,
+                f"{PLATFORM_HOST}:{proxied_port}",
+                EXECUTOR_CPU_MILLICORES,
             )
         self.store_proxies: list[FaultProxy] = []
         self.nodes: list[ManagedProcess] = []
-        self.fronts: list[str] = []
-        for number in range(NODES):
-            proxied, front, ready, peer, metrics = (next(ports) for _ in range(5))
-            store = (PLATFORM_HOST, proxied)
+        self.front_addresses: list[str] = []
+        for number in range(NODE_COUNT):
+            proxied_port, front_address, ready, peer, metrics = (
+                next(ports) for _ in range(5)
+            )
+            store = (PLATFORM_HOST, proxied_port)
             self.store_proxies.append(FaultProxy(store, (PLATFORM_HOST, store_port)))
             settings = {
                 "nodeName": f"n{number}",
                 "ip": PLATFORM_HOST,
                 "zone": f"z{number}",
                 "listenAddrs": {
-                    "frontend": f"{PLATFORM_HOST}:{front}",
+                    "frontend": f"{PLATFORM_HOST}:{front_address}",
                     "ready": f"{PLATFORM_HOST}:{ready}",
                 },
                 "internalPorts": [peer, peer],
-                "platform": {"address": f"{PLATFORM_HOST}:{proxied}"},
+                "platform": {"address": f"{PLATFORM_HOST}:{proxied_port}"},
                 "cloudApi": {"address": f"{PLATFORM_HOST}:{machines_port}"},
             }
             path = folder / f"n{number}.json"
@@ -138,8 +142,8 @@
                     f"n{number}", ["cranberrywheel.programs.node"], folder, environment
                 )
             )
-            self.fronts.append(f"{PLATFORM_HOST}:{front}")
-        self._down: set[int] = set()
+            self.front_addresses.append(f"{PLATFORM_HOST}:{front_address}")
+        self._blocked_nodes: set[int] = set()
         self._stopped = False
 
     def start(self) -> None:
@@ -148,24 +152,24 @@
         for proxy in (*self.executor_proxies, *self.store_proxies):
             proxy.start()
         with self.platform.lock:
-            self.platform.state.put(CONFIGURATION_KEY, _configuration())
+            self.platform.state.put(CONFIGURATION_KEY, _build_configuration())
         for node in self.nodes:
             node.start()
-        threading.Thread(target=self._supervise, daemon=True).start()
+        threading.Thread(target=self._restart_exited_nodes, daemon=True).start()
 
-    def _supervise(self) -> None:
+    def _restart_exited_nodes(self) -> None:
         while not self._stopped:
             time.sleep(0.3)
             for number, node in enumerate(self.nodes):
                 with self.lock:
-                    if not self._stopped and number not in self._down:
+                    if not self._stopped and number not in self._blocked_nodes:
                         if not node.is_running():
                             node.start()
 
-    def hold_down(self, number: int, down: bool) -> None:
+    def set_restart_blocked(self, number: int, down: bool) -> None:
         """Keep a process from being started again."""
         with self.lock:
-            (self._down.add if down else self._down.discard)(number)
+            (self._blocked_nodes.add if down else self._blocked_nodes.discard)(number)
 
     def heal(self) -> None:
         """End all faults."""
@@ -175,7 +179,7 @@
         self.platform.slow_ms = 0
         for number, node in enumerate(self.nodes):
             node.resume()
-            self.hold_down(number, False)
+            self.set_restart_blocked(number, False)
 
     def stop(self) -> None:
         """End every process and server."""
@@ -187,19 +191,19 @@
         self.platform.stop()
 
 
-def _configuration() -> bytes:
+def _build_configuration() -> bytes:
     route = {
         "name": "orders",
-        "host": HOST_NAME,
-        "prefix": PREFIX,
-        "service": SERVICE,
+        "host": ROUTE_HOST,
+        "prefix": ROUTE_PREFIX,
+        "service": SERVICE_NAME,
         "attempts": 3,
         "targetFactor": 2.0,
         "targetLatencyMs": 1_000,
         "timeoutMs": 3_000,
         "public": True,
     }
-    service = {"name": SERVICE, "standby": False}
+    service = {"name": SERVICE_NAME, "standby": False}
     body = {"version": 1, "routes": [route], "services": [service], "tenants": []}
     return json.dumps(body).encode()
 
@@ -232,16 +236,18 @@
     return faults
 
 
-def inject(deployment: Deployment, kind: str, target: int, length_s: float) -> None:
+def inject_fault(
+    deployment: Deployment, kind: str, target: int, length_s: float
+) -> None:
     """Bring about one fault, and end it after its length."""
-    node_number = target % NODES
+    node_number = target % NODE_COUNT
     node = deployment.nodes[node_number]
     store = deployment.store_proxies[node_number]
-    executor_number = target % EXECUTORS
+    executor_number = target % EXECUTOR_COUNT
     executor = deployment.executor_proxies[executor_number]
     platform = deployment.platform
 
-    def later(function: t.Callable[[], None]) -> None:
+    def schedule_end(function: t.Callable[[], None]) -> None:
         timer = threading.Timer(length_s, function)
         timer.daemon = True
         timer.start()
@@ -250,22 +256,22 @@
         node.kill()
     elif kind == "node-pause":
         node.pause()
-        later(node.resume)
+        schedule_end(node.resume)
     elif kind == "node-stop":
         node.terminate()
     elif kind == "node-dark":
-        deployment.hold_down(node_number, True)
+        deployment.set_restart_blocked(node_number, True)
         node.kill()
-        later(lambda: deployment.hold_down(node_number, False))
+        schedule_end(lambda: deployment.set_restart_blocked(node_number, False))
     elif kind == "store-away":
         platform.refuses = True
-        later(lambda: setattr(platform, "refuses", False))
+        schedule_end(lambda: setattr(platform, "refuses", False))
     elif kind == "store-delay":
         store.set(Fault.DELAY, 0.15)
-        later(lambda: store.set(Fault.NONE))
+        schedule_end(lambda: store.set(Fault.NONE))
     elif kind.startswith("store-"):
         store.set(Fault(kind.removeprefix("store-")))
-        later(lambda: store.set(Fault.NONE))
+        schedule_end(lambda: store.set(Fault.NONE))
     elif kind == "executor-reset":
         executor.reset()
     elif kind == "executor-restart":
@@ -273,34 +279,34 @@
             platform.fleet.by_id[f"x{executor_number}"].restart()
     else:
         executor.set(Fault(kind.removeprefix("executor-")))
-        later(lambda: executor.set(Fault.NONE))
+        schedule_end(lambda: executor.set(Fault.NONE))
 
 
-class Callers:
+class SimulatedCallers:
     """Hands in, asks and cancels, and notes what was answered."""
 
     def __init__(self, deployment: Deployment, rng: random.Random) -> None:
         self._deployment = deployment
         self._rng = rng
-        self.clients: list[Client] = []
-        self._calls: list[threading.Thread] = []
+        self.submissions: list[TrackedSubmission] = []
+        self._threads: list[threading.Thread] = []
         self.violations: list[str] = []
 
-    def begin(self, function: t.Callable[[], None]) -> None:
+    def run_in_thread(self, function: t.Callable[[], None]) -> None:
         """Make calls on a thread of their own."""
         thread = threading.Thread(target=function, daemon=True)
-        self._calls.append(thread)
+        self._threads.append(thread)
         thread.start()
 
     def wait(self) -> None:
         """Wait until every call has its answer or has timed out."""
-        for thread in self._calls:
+        for thread in self._threads:
             thread.join()
 
     def submit(self) -> None:
         """Hand in one submission, with retries at any node."""
         count = self._rng.randint(1, 4)
-        client = Client(f"{self._rng.getrandbits(64):016x}", 2 * count)
+        submission = TrackedSubmission(f"{self._rng.getrandbits(64):016x}", 2 * count)
         step = {"count": count, "cpu": 1_000, "memMb": 10, "estimatedMs": 500}
         body = json.dumps(
             {"spec": "work", "steps": [step, {**step, "after": [0]}]}
@@ -308,45 +314,53 @@
         platform = self._deployment.platform
         with platform.lock:
             duration_ms = self._rng.randint(100, 1_500)
-            platform.fleet.describe(client.submission_id, 1_000, duration_ms)
-        self.clients.append(client)
+            platform.fleet.describe(submission.submission_id, 1_000, duration_ms)
+        self.submissions.append(submission)
         for _ in range(3):
-            front = self._rng.choice(self._deployment.fronts)
-            status, _ = call("POST", front, PREFIX + client.submission_id, body)
+            front_address = self._rng.choice(self._deployment.front_addresses)
+            status, _ = send_call(
+                "POST", front_address, ROUTE_PREFIX + submission.submission_id, body
+            )
             if 200 <= status < 300:
-                client.accepted = True
+                submission.accepted = True
                 return
             # Only a refusal says that nothing of the submission will ever run.
-            client.maybe_accepted |= status not in (429, 503)
+            submission.possibly_accepted |= status not in (429, 503)
             time.sleep(0.1)
 
     def cancel(self) -> None:
         """Cancel a submission that was accepted."""
-        candidates = [c for c in self.clients if c.accepted and not c.cancelled]
+        candidates = [c for c in self.submissions if c.accepted and not c.cancelled]
         if candidates:
-            client = self._rng.choice(candidates)
-            front = self._rng.choice(self._deployment.fronts)
-            status, _ = call("DELETE", front, PREFIX + client.submission_id)
-            client.cancelled |= status == 200 or status == 0
+            submission = self._rng.choice(candidates)
+            front_address = self._rng.choice(self._deployment.front_addresses)
+            status, _ = send_call(
+                "DELETE", front_address, ROUTE_PREFIX + submission.submission_id
+            )
+            submission.cancelled |= status == 200 or status == 0
 
-    def ask(self, client: Client) -> str:
+    def query_state(self, submission: TrackedSubmission) -> str:
         """Ask for a state at a random node; ``""`` without an answer."""
-        front = self._rng.choice(self._deployment.fronts)
-        status, body = call("GET", front, PREFIX + client.submission_id)
+        front_address = self._rng.choice(self._deployment.front_addresses)
+        status, body = send_call(
+            "GET", front_address, ROUTE_PREFIX + submission.submission_id
+        )
         state = str(body.get("state", "")) if status == 200 else ""
-        if status == 410 and client.accepted:
-            self.violations.append(f"{client.submission_id} accepted, then not known")
+        if status == 410 and submission.accepted:
+            self.violations.append(
+                f"{submission.submission_id} accepted, then not known"
+            )
         if state:
-            self._check(client, state)
-            client.states.append(state)
+            self._check_state(submission, state)
+            submission.states.append(state)
         return state
 
-    def _check(self, client: Client, state: str) -> None:
-        name = client.submission_id
-        before = [s for s in client.states if s in FINAL_STATES]
+    def _check_state(self, submission: TrackedSubmission, state: str) -> None:
+        name = submission.submission_id
+        before = [s for s in submission.states if s in FINAL_STATES]
         if before and state != before[-1]:
             self.violations.append(f"{name} was {before[-1]}, then {state}")
-        if state == "cancelled" and not client.cancelled:
+        if state == "cancelled" and not submission.cancelled:
             self.violations.append(f"{name} shown as cancelled, nobody cancelled it")
         if state == "failed":
             self.violations.append(f"{name} shown as failed, nothing failed")
@@ -354,9 +368,9 @@
             with self._deployment.platform.lock:
                 done = self._deployment.platform.fleet.done_ms_by_task
                 finished = sum(task.startswith(name) for task in done)
-            if finished < client.tasks:
+            if finished < submission.tasks:
                 self.violations.append(
-                    f"{name} completed with {finished} of {client.tasks} tasks done"
+                    f"{name} completed with {finished} of {submission.tasks} tasks done"
                 )
 
 
@@ -369,50 +383,52 @@
     rng = random.Random(plan.seed)
     plan.folder.mkdir(parents=True, exist_ok=True)
     deployment = Deployment(plan.folder)
-    callers = Callers(deployment, random.Random(plan.seed + 1))
+    callers = SimulatedCallers(deployment, random.Random(plan.seed + 1))
     deployment.start()
     try:
         _wait_for_start(callers)
-        begin = time.monotonic()
+        start_s = time.monotonic()
         events: list[tuple[float, t.Callable[[], None]]] = []
         for at, kind, target, length_s in plan_faults(plan, rng):
 
-            def bring(k: str = kind, n: int = target, s: float = length_s) -> None:
-                report(f"{time.monotonic() - begin:6.2f} {k} {n} {s:.1f} s")
-                inject(deployment, k, n, s)
+            def start_fault(
+                k: str = kind, n: int = target, s: float = length_s
+            ) -> None:
+                report(f"{time.monotonic() - start_s:6.2f} {k} {n} {s:.1f} s")
+                inject_fault(deployment, k, n, s)
 
-            events.append((at, bring))
+            events.append((at, start_fault))
         for _ in range(plan.submissions):
             at = rng.uniform(0, plan.seconds)
-            events.append((at, lambda: callers.begin(callers.submit)))
+            events.append((at, lambda: callers.run_in_thread(callers.submit)))
             if rng.random() < 0.2:
-                events.append((at + 0.5, lambda: callers.begin(callers.cancel)))
+                events.append((at + 0.5, lambda: callers.run_in_thread(callers.cancel)))
         for at, event in sorted(events, key=lambda row: row[0]):
-            time.sleep(max(0.0, begin + at - time.monotonic()))
+            time.sleep(max(0.0, start_s + at - time.monotonic()))
             event()
         deployment.heal()
         callers.wait()
-        return _settle(deployment, callers)
+        return _check_outcomes(deployment, callers)
     finally:
         deployment.heal()
         deployment.stop()
 
 
-def _wait_for_start(callers: Callers) -> None:
-    end = time.monotonic() + START_S
+def _wait_for_start(callers: SimulatedCallers) -> None:
+    end = time.monotonic() + STARTUP_TIMEOUT_S
     while time.monotonic() < end:
         callers.submit()
-        if callers.clients[-1].accepted:
+        if callers.submissions[-1].accepted:
             return
         time.sleep(0.2)
-    callers.violations.append(f"no submission accepted within {START_S} s")
+    callers.violations.append(f"no submission accepted within {STARTUP_TIMEOUT_S} s")
 
 
-def _settle(deployment: Deployment, callers: Callers) -> list[str]:
-    end = time.monotonic() + SETTLE_S
-    left = [c for c in callers.clients if c.accepted]
+def _check_outcomes(deployment: Deployment, callers: SimulatedCallers) -> list[str]:
+    end = time.monotonic() + COMPLETION_TIMEOUT_S
+    left = [c for c in callers.submissions if c.accepted]
     while left and time.monotonic() < end:
-        left = [c for c in left if callers.ask(c) not in FINAL_STATES]
+        left = [c for c in left if callers.query_state(c) not in FINAL_STATES]
         time.sleep(0.2)
     violations = list(callers.violations)
     violations += [
@@ -422,8 +438,8 @@
     with platform.lock:
         violations += platform.fleet.violations
         started = {task.partition(".")[0] for task in platform.fleet.started_tasks}
-    for client in callers.clients:
-        if not client.accepted and not client.maybe_accepted:
-            if client.submission_id in started:
-                violations.append(f"{client.submission_id} refused, but it ran")
+    for submission in callers.submissions:
+        if not submission.accepted and not submission.possibly_accepted:
+            if submission.submission_id in started:
+                violations.append(f"{submission.submission_id} refused, but it ran")
     return violations
--- a/tests/test_entry_faults.py
+++ b/tests/test_entry_faults.py
@@ -72,7 +72,7 @@
             text=TEXT, entry_zones=("z1", "z2"), entry_settings={"limits": HOLDS}
         )
         self.cluster = self.enterContext(Cluster(plan, self.folder))
-        self.cluster.apply_text(TEXT)
+        self.cluster.apply_configuration(TEXT)
         self.key = self.cluster.grant_keys()["north"]
         self.numbers = itertools.count(1)
         self.pool = self.enterContext(concurrent.futures.ThreadPoolExecutor(16))
@@ -100,7 +100,7 @@
             ticket=ticket,
             key_id=key.partition(".")[0],
         )
-        url = f"{self.cluster.places[entry].url}/v1/queues/{queue}"
+        url = f"{self.cluster.endpoints[entry].url}/v1/queues/{queue}"
         body = {"request": request, "run_ms": run_ms}
         try:
             status, answer = call_json("POST", url, body, headers, timeout_ms)
@@ -113,14 +113,14 @@
         return request, fields["outcome"], answer.get("kind", "")
 
     def ticket(self, entry):
-        url = f"{self.cluster.places[entry].url}/v1/tickets"
+        url = f"{self.cluster.endpoints[entry].url}/v1/tickets"
         headers = [f"Authorization: Bearer {self.key}"]
         status, answer = call_json("POST", url, {"queue": "orders"}, headers)
         self.assertEqual(200, status, answer)
         return answer["tickets"][0]
 
     def query(self, entry, ticket):
-        url = f"{self.cluster.places[entry].url}/v1/requests/{ticket}"
+        url = f"{self.cluster.endpoints[entry].url}/v1/requests/{ticket}"
         return call_json("GET", url)[1]
 
     def wait_for_call(self, entry):
@@ -222,7 +222,9 @@
                 self.call(entry, "prices")[1:],
                 [("ok", ""), ("not-run", "keys-not-fresh")],
             )
-        status, answer = self.cluster.operate("POST", "/v1/keys", {"team": "north"})
+        status, answer = self.cluster.call_as_operator(
+            "POST", "/v1/keys", {"team": "north"}
+        )
         self.assertEqual(503, status, answer)
         self.cluster.set_platform_faults()
         self.wait_for_call("entry-1")
@@ -230,14 +232,14 @@
         self.assert_history_holds()
 
     def test_a_lost_store_answer_neither_loses_nor_doubles_a_write(self):
-        _, before = self.cluster.operate("GET", "/v1/configuration")
+        _, before = self.cluster.call_as_operator("GET", "/v1/configuration")
         self.cluster.set_platform_faults(lose_answers=1)
         key = self.cluster.grant_key("north")
         self.cluster.set_platform_faults()
-        self.cluster.wait_configuration(
+        self.cluster.wait_for_configuration(
             lambda shown: len(shown["keys"]) > len(before["keys"])
         )
-        _, after = self.cluster.operate("GET", "/v1/configuration")
+        _, after = self.cluster.call_as_operator("GET", "/v1/configuration")
         self.assertEqual(len(before["keys"]) + 1, len(after["keys"]))
         self.key = key
         self.wait_for_call("entry-2")
@@ -313,7 +315,7 @@
             self.assertEqual("ok", blocker.result(WAIT_S)[1])
         self.wait_for_call("entry-1")
         self.assertEqual([], self.starts(request))
-        status = self.cluster.operate("GET", "/v1/status")[1]
+        status = self.cluster.call_as_operator("GET", "/v1/status")[1]
         self.assertEqual(0, status["queued_by_service"]["desk"], json.dumps(status))
 
     # Refusals of repeated tickets
@@ -321,7 +323,7 @@
     def test_a_refused_repeat_of_a_ticket_that_ran_is_not_called_not_run(self):
         ticket = self.ticket("entry-1")
         self.assertEqual("ok", self.call("entry-1", "orders", ticket)[1])
-        status, _ = self.cluster.operate(
+        status, _ = self.cluster.call_as_operator(
             "DELETE", f"/v1/keys/{self.key.partition('.')[0]}"
         )
         self.assertEqual(200, status)
@@ -333,7 +335,7 @@
 
     def withdraw_key(self):
         key_id = self.key.partition(".")[0]
-        status, answer = self.cluster.operate("DELETE", f"/v1/keys/{key_id}")
+        status, answer = self.cluster.call_as_operator("DELETE", f"/v1/keys/{key_id}")
         self.assertEqual(200, status, answer)
         self.cluster.history.write("withdraw", key_id=key_id)
 
@@ -355,7 +357,9 @@
             self.wait_for_refusal(entry, "unauthorized")
         self.cluster.set_platform_faults()
         wait_until(
-            lambda: not self.cluster.operate("GET", "/v1/configuration")[1]["keys"],
+            lambda: (
+                not self.cluster.call_as_operator("GET", "/v1/configuration")[1]["keys"]
+            ),
             WAIT_S,
             "the withdrawal is in the store",
         )
--- a/tests/test_measures.py
+++ b/tests/test_measures.py
@@ -3,16 +3,16 @@
 from cranberrywheel_load.driver import CallResult
 from cranberrywheel_load.measures import (
     PlannedStop,
-    adoptions,
-    closeness,
-    cut_by_stops,
-    mean_counts,
-    most_running,
-    most_runs,
-    starts_after_failure,
+    compute_closeness,
+    compute_mean_counts,
+    count_calls_cut_by_stops,
+    count_starts_after_failure,
+    find_max_runs_per_ticket,
+    find_peak_running,
+    parse_adoptions,
 )
 from cranberrywheel_load.processes import START_LINE
-from cranberrywheel_load.report import useful_work
+from cranberrywheel_load.report import compute_useful_fraction
 from cranberrywheel_spec.history_events import History, Invoke, TaskEnd, TaskStart
 
 
@@ -38,30 +38,30 @@
             result(work="b", outcome="broken"),
             result(work="c", outcome="cancelled", wanted=False),
         ]
-        self.assertEqual(0.5, useful_work(results))
+        self.assertEqual(0.5, compute_useful_fraction(results))
 
     def test_closeness_asks_no_more_than_demand_or_share(self):
-        found = closeness(
+        found = compute_closeness(
             {"a": 3.0, "b": 1.0}, {"a": 2.0, "b": 9.0}, {"a": 0.5, "b": 0.25, "c": 1}, 8
         )
         self.assertEqual({"a": 1.0, "b": 0.5}, found)
         intervals = [(0, 10, "a"), (5, 20, "a"), (12, 30, "b")]
-        self.assertEqual({"a": 1.5}, mean_counts(intervals, 0, 10))
+        self.assertEqual({"a": 1.5}, compute_mean_counts(intervals, 0, 10))
 
     def test_runs_and_peaks_come_from_starts(self):
         invoke = Invoke(at_ms=0, event="invoke", request="r", queue="q", ticket="t")
         again = invoke.model_copy(update={"request": "s"})
         events = [invoke, again, start(1, "w/1"), start(2, "w/2", "s")]
         history = History([*events, end(2, "w/1"), end(3, "w/2")])
-        self.assertEqual(2, most_runs(history))
+        self.assertEqual(2, find_max_runs_per_ticket(history))
         # One task ends at the reading at which the next starts.
-        self.assertEqual({"a": 1}, most_running(history))
+        self.assertEqual({"a": 1}, find_peak_running(history))
 
     def test_a_failing_worker_is_judged_from_its_first_failure(self):
         failed = end(500, "w/1").model_copy(update={"how": "failed"})
         events = [start(400, "w/1"), failed, start(900, "w/2"), start(1600, "w/3")]
-        self.assertEqual(1, starts_after_failure(History(events), "w", 100, 1000))
-        self.assertEqual(0, starts_after_failure(History(events), "w", 600, 1000))
+        self.assertEqual(1, count_starts_after_failure(History(events), "w", 100, 1000))
+        self.assertEqual(0, count_starts_after_failure(History(events), "w", 600, 1000))
 
     def test_adoptions_are_told_apart_by_process_start(self):
         start = f"{START_LINE}\n"
@@ -69,7 +69,7 @@
             "configuration version={} text_version=1\n"
         )
         log = start + line.format(3) + line.format(5) + start + line.format(4)
-        found = [(e.process, e.version) for e in adoptions("entry-1", log)]
+        found = [(e.process, e.version) for e in parse_adoptions("entry-1", log)]
         expected = [("entry-1#0", 3), ("entry-1#0", 5), ("entry-1#1", 4)]
         self.assertEqual(expected, found)
 
@@ -82,4 +82,4 @@
             result(outcome="broken", done_ms=25.0),
             result(outcome="ok", done_ms=15.0),
         ]
-        self.assertEqual(1, cut_by_stops(results, [stop]))
+        self.assertEqual(1, count_calls_cut_by_stops(results, [stop]))
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -7,12 +7,12 @@
 import pytest
 
 from cranberrywheel_load.soak import (
-    PREFIX,
-    START_S,
+    ROUTE_PREFIX,
+    STARTUP_TIMEOUT_S,
     Deployment,
     SoakPlan,
-    call,
     run_soak,
+    send_call,
 )
 
 SUBMISSION = {"spec": "work", "steps": [{"count": 2, "cpu": 1_000, "memMb": 10}]}
@@ -23,11 +23,13 @@
     deployment = Deployment(tmp_path_factory.mktemp("nodes"))
     deployment.start()
     # Every process is polled, since they may start at different times.
-    deadline_s = time.monotonic() + START_S
-    not_ready = list(deployment.fronts)
+    deadline_s = time.monotonic() + STARTUP_TIMEOUT_S
+    not_ready = list(deployment.front_addresses)
     while not_ready and time.monotonic() < deadline_s:
         not_ready = [
-            front for front in not_ready if call("GET", front, PREFIX)[0] != 200
+            front
+            for front in not_ready
+            if send_call("GET", front, ROUTE_PREFIX)[0] != 200
         ]
         time.sleep(0.1)
     assert not_ready == []
@@ -37,15 +39,19 @@
 
 def submit(deployment, submission_id, body):
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    return call("POST", deployment.fronts[0], PREFIX + submission_id, data)
+    return send_call(
+        "POST", deployment.front_addresses[0], ROUTE_PREFIX + submission_id, data
+    )
 
 
 def wait_for_state(deployment, submission_id, expected, seconds=10):
     deadline_s = time.monotonic() + seconds
     state = ""
     while state != expected and time.monotonic() < deadline_s:
-        front = random.choice(deployment.fronts)
-        state = call("GET", front, PREFIX + submission_id)[1].get("state", "")
+        front = random.choice(deployment.front_addresses)
+        state = send_call("GET", front, ROUTE_PREFIX + submission_id)[1].get(
+            "state", ""
+        )
         time.sleep(0.1)
     return state
 
@@ -54,8 +60,8 @@
     """Guards against a submission that only the accepting node can report."""
     assert submit(deployment, "00000000000000a1", SUBMISSION)[0] == 200
     assert wait_for_state(deployment, "00000000000000a1", "completed") == "completed"
-    for front in deployment.fronts:
-        answer = call("GET", front, PREFIX + "00000000000000a1")
+    for front in deployment.front_addresses:
+        answer = send_call("GET", front, ROUTE_PREFIX + "00000000000000a1")
         assert answer == (200, {"state": "completed"})
 
 
@@ -90,7 +96,12 @@
     status, answer = submit(deployment, "00000000000000b1", body)
     assert status == 400
     assert answer["outcome"] == "not-run" and answer["detail"]
-    assert call("GET", deployment.fronts[1], PREFIX + "00000000000000b1")[0] == 410
+    assert (
+        send_call(
+            "GET", deployment.front_addresses[1], ROUTE_PREFIX + "00000000000000b1"
+        )[0]
+        == 410
+    )
 
 
 def test_body_over_the_limit_is_rejected(deployment):
@@ -100,15 +111,26 @@
 
 def test_unknown_queue_and_submission_are_not_found(deployment):
     """Guards against a success for an unknown queue, an invalid id or an unknown id."""
-    assert call("GET", deployment.fronts[0], "/other/00000000000000b3")[0] == 404
-    assert call("GET", deployment.fronts[0], PREFIX + "nonsense")[0] == 404
-    assert call("DELETE", deployment.fronts[0], PREFIX + "00000000000000b3")[0] == 410
+    assert (
+        send_call("GET", deployment.front_addresses[0], "/other/00000000000000b3")[0]
+        == 404
+    )
+    assert (
+        send_call("GET", deployment.front_addresses[0], ROUTE_PREFIX + "nonsense")[0]
+        == 404
+    )
+    assert (
+        send_call(
+            "DELETE", deployment.front_addresses[0], ROUTE_PREFIX + "00000000000000b3"
+        )[0]
+        == 410
+    )
 
 
 def test_queue_length_is_the_same_at_every_node(deployment):
     """Guards against a node that answers without data because it does not lead."""
-    for front in deployment.fronts:
-        assert call("GET", front, PREFIX) == (200, {"queuedJobs": 0})
+    for front in deployment.front_addresses:
+        assert send_call("GET", front, ROUTE_PREFIX) == (200, {"queuedJobs": 0})
 
 
 def test_cancelled_submission_stops_its_tasks(deployment):
@@ -117,7 +139,12 @@
     platform.fleet.describe("00000000000000c1", 1_000, 60_000)
     assert submit(deployment, "00000000000000c1", SUBMISSION)[0] == 200
     time.sleep(0.5)
-    assert call("DELETE", deployment.fronts[2], PREFIX + "00000000000000c1")[0] == 200
+    assert (
+        send_call(
+            "DELETE", deployment.front_addresses[2], ROUTE_PREFIX + "00000000000000c1"
+        )[0]
+        == 200
+    )
     deadline_s = time.monotonic() + 5
     while time.monotonic() < deadline_s:
         with platform.lock:
--- a/tests/test_pattern.py
+++ b/tests/test_pattern.py
@@ -5,7 +5,7 @@
 import testtools
 
 from cranberrywheel.version.configuration import parse_configuration
-from cranberrywheel_load.pattern import LoadPlan, plan_arrivals, rate_factor
+from cranberrywheel_load.pattern import LoadPlan, compute_rate_factor, plan_arrivals
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 
@@ -17,14 +17,14 @@
         self.configuration = parse_configuration(text)
 
     def plan(self, seed=1, **fields):
-        plan = LoadPlan(duration_ms=60_000, surge_ms=10_000, **fields)
+        plan = LoadPlan(duration_ms=60_000, burst_ms=10_000, **fields)
         return plan_arrivals(self.configuration, plan, random.Random(seed))
 
     def test_exactly_one_queue_bursts_at_any_time(self):
         for at_ms in range(0, 9_000, 250):
-            factors = [rate_factor(i, 3, at_ms, 1_000) for i in range(3)]
+            factors = [compute_rate_factor(i, 3, at_ms, 1_000) for i in range(3)]
             self.assertEqual([0.05, 0.05, 5.0], sorted(factors))
-        self.assertEqual(5.0, rate_factor(0, 3, 3_000, 1_000))
+        self.assertEqual(5.0, compute_rate_factor(0, 3, 3_000, 1_000))
 
     def test_each_queue_gets_five_times_its_mean_in_its_turn(self):
         counts = collections.Counter((a.queue, a.at_ms // 10_000) for a in self.plan())
