--- a/src/cranberrywheel_load/balancer.py
+++ b/src/cranberrywheel_load/balancer.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's load balancer: sends calls to ready instances."""
+"""Stand-in for the platform's load balancer."""
 
 import random
 import threading
@@ -11,10 +11,10 @@
 
 
 class StandInBalancer:
-    """Polls ``/readyz`` on its own thread and chooses among the ready instances.
+    """Polls ``/readyz`` of each entry instance and chooses among the ready ones.
 
     :param urls: base URLs of all entry instances.
-    :param rng: seeded source of the choice.
+    :param rng: seeded random source of the choice.
     """
 
     def __init__(self, urls: t.Sequence[str], rng: random.Random) -> None:
@@ -54,6 +54,6 @@
                 ]
 
     def choose(self) -> str:
-        """Return a ready instance; any, if none is ready."""
+        """Return the URL of a random ready instance, or of any if none is ready."""
         with self._lock:
             return self._rng.choice(self._ready_urls or self._urls)
--- a/src/cranberrywheel_load/cluster.py
+++ b/src/cranberrywheel_load/cluster.py
@@ -1,4 +1,4 @@
-"""A deployment on loopback: stand-ins, entry instances and planners."""
+"""Local deployment of stand-ins, entry instances and planners."""
 
 import configparser
 import json
@@ -18,21 +18,19 @@
 from cranberrywheel_standin.history import HistoryWriter
 from cranberrywheel_standin.http_call import NoAnswerError, call_json
 
-#: generous, because the tests of a busy machine start many interpreters.
+#: Long, because tests start many interpreters on a busy machine.
 READY_TIMEOUT_S = 60.0
-#: name of the platform's side in partitions.
+#: Zone name under which relays treat the platform in partitions.
 PLATFORM_ZONE = "platform"
-#: longer than an entry instance waits for a store that is down.
+#: Longer than an entry instance waits for an unavailable store.
 OPERATOR_TIMEOUT_MS = 30_000
 OPERATOR_TOKEN = "operator-token-of-a-local-run"
 
 
 class Cluster:
-    """Starts and stops the processes of a plan.
+    """Context manager that starts the processes of a plan and stops them at its exit.
 
-    Use it as a context manager: leaving it stops every process.
-
-    :param plan: what to start.
+    :param plan: description of the deployment.
     :param folder: temporary folder for settings, logs and histories.
     """
 
@@ -84,8 +82,6 @@
         for name in names:
             self.wait_until_alive(name)
 
-    # Stand-ins
-
     def _start_process(self, name: str, *arguments: str) -> ManagedProcess:
         process = ManagedProcess(name, arguments, self.folder)
         self.processes[name] = process
@@ -142,22 +138,20 @@
         wait_until(
             lambda: "workers ready" in process.read_log(),
             READY_TIMEOUT_S,
-            "workers listen",
+            "workers are ready",
         )
 
-    # Entry instances and planners
-
     def add_entry(self, name: str, zone: str) -> EntryEndpoint:
-        """Start an entry instance on new ports."""
+        """Start an entry instance on free ports."""
         http_port, peer_port = find_free_ports(2)
-        place = EntryEndpoint(
+        endpoint = EntryEndpoint(
             name=name,
             zone=zone,
             http_port=http_port,
             peer_port=peer_port,
             advertised_peer_port=self._add_relay(peer_port, zone),
         )
-        self.endpoints[name] = place
+        self.endpoints[name] = endpoint
         token_file = self.folder / "operator-token"
         token_file.write_text(OPERATOR_TOKEN)
         values = {
@@ -168,14 +162,14 @@
             "peer_port": peer_port,
             "operator_token_file": token_file,
         }
-        if place.advertised_peer_port != peer_port:
-            values["advertised_peer_port"] = place.advertised_peer_port
+        if endpoint.advertised_peer_port != peer_port:
+            values["advertised_peer_port"] = endpoint.advertised_peer_port
         self._write_settings(name, "entry", values, self.plan.entry_settings)
         self.restart(name)
-        return place
+        return endpoint
 
     def add_planner(self, zone: str) -> ManagedProcess:
-        """Start the planner of a zone."""
+        """Start a planner in a zone."""
         name = f"planner-{zone}"
         values = {"instance": name, "zone": zone}
         self._write_settings(name, "planner", values, self.plan.planner_settings)
@@ -211,19 +205,19 @@
         return process
 
     def restart(self, name: str) -> None:
-        """Start an entry instance again on its ports, as a new process."""
+        """Start a new process of an entry instance on its previous ports."""
         self._run_program(name, "entry")
 
     def entry_urls(self) -> list[str]:
         """Return the base URLs of all entry instances."""
-        return [place.url for place in self.endpoints.values()]
+        return [endpoint.url for endpoint in self.endpoints.values()]
 
     def wait_until_alive(self, name: str) -> None:
-        """Wait until an entry instance answers."""
+        """Wait until an entry instance answers its health check."""
         self._wait_for_answer(f"{self.endpoints[name].url}/healthz", name)
 
     def wait_until_ready(self, name: str) -> None:
-        """Wait until an entry instance is ready for the load balancer."""
+        """Wait until an entry instance reports that it is ready for calls."""
         url = f"{self.endpoints[name].url}/readyz"
         wait_until(
             lambda: self._status(url) == 200, READY_TIMEOUT_S, f"{name} is ready"
@@ -246,8 +240,6 @@
         except NoAnswerError:
             return 0
 
-    # Operators
-
     def call_as_operator(
         self,
         method: str,
@@ -256,17 +248,23 @@
         headers: t.Sequence[str] = (),
         entry: str = "",
     ) -> tuple[int, t.Any]:
-        """Send an operator's call to an entry instance; default the first."""
-        place = self.endpoints[entry] if entry else next(iter(self.endpoints.values()))
+        """Send a request with the operator token to an entry instance.
+
+        :param entry: name of the instance; ``""`` for the first one.
+        """
+        endpoint = (
+            self.endpoints[entry] if entry else next(iter(self.endpoints.values()))
+        )
         token = f"Authorization: Bearer {OPERATOR_TOKEN}"
         return call_json(
-            method, place.url + path, body, (token, *headers), OPERATOR_TIMEOUT_MS
+            method, endpoint.url + path, body, (token, *headers), OPERATOR_TIMEOUT_MS
         )
 
     def apply_configuration(self, text: str) -> int:
-        """Apply an operators' text and wait until every instance has it.
+        """Apply a configuration text and wait until every instance has adopted it.
 
-        :returns: its text version.
+        :returns: the text version.
+        :raises RuntimeError: if the instance refuses the text.
         """
         _, shown = self.call_as_operator("GET", "/v1/configuration")
         match = f'If-Match: "{shown["text_version"]}"'
@@ -274,7 +272,7 @@
             "PUT", "/v1/configuration", text, (match,)
         )
         if status != 200:
-            raise RuntimeError(f"the text was refused with {status}: {answer}")
+            raise RuntimeError(f"configuration refused with {status}: {answer}")
         for team in parse_configuration(text).teams_by_name.values():
             self.history.write("limit", team=team.name, limit=team.limit)
         version = int(answer["text_version"])
@@ -282,20 +280,30 @@
         return version
 
     def grant_key(self, team: str) -> str:
-        """Create a key; returns the whole key."""
+        """Create a key for a team.
+
+        :returns: the whole key, with its secret.
+        :raises RuntimeError: if the instance refuses to create it.
+        """
         status, answer = self.call_as_operator("POST", "/v1/keys", {"team": team})
         if status != 201:
-            raise RuntimeError(f"no key for {team}, {status}: {answer}")
+            raise RuntimeError(f"key for {team} refused with {status}: {answer}")
         return str(answer["key"])
 
     def grant_keys(self) -> dict[str, str]:
-        """Create a key for each team and wait until every instance knows them."""
+        """Create a key for each team and wait until every instance has them all.
+
+        :returns: whole keys by team.
+        """
         keys = {team: self.grant_key(team) for team in self.configuration.teams_by_name}
         self.wait_for_configuration(lambda shown: len(shown["keys"]) >= len(keys))
         return keys
 
     def wait_for_configuration(self, matches: t.Callable[[t.Any], bool]) -> None:
-        """Wait until what each instance shows as its configuration matches."""
+        """Wait until the configuration reported by each instance matches.
+
+        :param matches: condition on the body of ``GET /v1/configuration``.
+        """
         for name in self.endpoints:
             wait_until(
                 lambda name=name: matches(
@@ -306,7 +314,7 @@
             )
 
     def wait_for_quota_units(self) -> None:
-        """Wait until every instance holds a unit of every team."""
+        """Wait until every instance has a usable quota unit of every team."""
 
         def has_quota_units(name: str) -> bool:
             _, status = self.call_as_operator("GET", "/v1/status", entry=name)
@@ -317,22 +325,20 @@
             wait_until(
                 lambda name=name: has_quota_units(name),
                 READY_TIMEOUT_S,
-                f"{name} holds units",
+                f"{name} has quota units",
             )
 
-    # Faults
-
     def set_platform_faults(self, **faults: t.Any) -> None:
-        """Replace the faults of the platform stand-in."""
+        """Replace the injected faults of the platform stand-in."""
         call_json("PUT", f"{self.platform_url}/v1/faults", faults)
 
     def set_worker_faults(self, worker: str, **faults: t.Any) -> None:
-        """Replace the faults of one worker stand-in."""
+        """Replace the injected faults of one worker stand-in."""
         url = f"http://{self.worker_addresses[worker]}/v1/faults"
         call_json("PUT", url, faults)
 
     def partition(self, zone: str) -> None:
-        """Cut a zone off from all other zones and from the platform."""
+        """Isolate a zone from all other zones and from the platform."""
         others = {*self.configuration.regions_by_zone, PLATFORM_ZONE} - {zone}
         self._require_relays().set_cut((zone, other) for other in sorted(others))
 
@@ -341,18 +347,21 @@
         self._require_relays().set_cut(())
 
     def get_relayed_bytes(self) -> dict[int, int]:
-        """Return the payload bytes that relays have passed on, by target port."""
+        """Return the payload bytes that the relays have forwarded, by target port."""
         return self._require_relays().get_relayed_bytes()
 
     def _require_relays(self) -> RelayControl:
         if self._relay is None:
-            raise RuntimeError("the plan has no relays")
+            raise RuntimeError("the plan has no relays; set with_relays=True")
         return self._relay
 
     def _add_relay(self, port: int, zone: str, source_zone: str = "") -> int:
-        """Return the port that others use for a listening port.
+        """Start a relay to a port if the plan has relays.
 
-        :param asking: the zone that uses it; ``""`` for all.
+        :param zone: zone of the listening process.
+        :param source_zone: zone whose processes use the relay; ``""`` for all zones.
+        :returns: the port to connect to: the relay's, or ``port`` itself if the plan
+            has no relays or both ends are in one zone.
         """
         if self._relay is None or source_zone == zone:
             return port
@@ -361,7 +370,7 @@
     def _update_relay_owners(self) -> None:
         if self._relay is None:
             return
-        zones = {place.name: place.zone for place in self.endpoints.values()}
+        zones = {endpoint.name: endpoint.zone for endpoint in self.endpoints.values()}
         zones |= {f"planner-{zone}": zone for zone in self.plan.planner_zones}
         zones["platform"] = PLATFORM_ZONE
         self._relay.set_zones_by_pid(
--- a/src/cranberrywheel_load/cluster_plan.py
+++ b/src/cranberrywheel_load/cluster_plan.py
@@ -1,4 +1,4 @@
-"""What a local deployment consists of."""
+"""Description of a local deployment."""
 
 import dataclasses
 import typing as t
@@ -8,17 +8,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ClusterPlan:
-    """What to start.
+    """The processes to start and their settings.
 
-    :param text: the operators' text; its workers are started as stand-ins.
+    :param text: configuration text; its workers are started as stand-ins.
     :param entry_zones: zone of each entry instance.
-    :param planner_zones: zones that get a planner.
+    :param planner_zones: zones in which a planner is started.
     :param entry_settings: settings by section and key that differ from the
         defaults, for example ``{"limits": {"short_hold_ms": 9000}}``.
     :param planner_settings: the same for planners.
-    :param worker_fields: fields of all worker stand-ins, such as ``stop_ms``.
-    :param with_relays: put relays before workers, platform and peer ports, so
-        that zones can be partitioned.
+    :param worker_fields: fields set for all worker stand-ins, such as ``stop_ms``.
+    :param with_relays: whether connections to workers, platform and peers pass
+        relays, so that zones can be partitioned.
     """
 
     text: str
@@ -36,10 +36,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EntryEndpoint:
-    """Where an entry instance listens.
+    """Location and ports of an entry instance.
 
-    :param advertised_peer_port: the port that peers learn; a relay's, if there
-        are relays.
+    :param peer_port: port on which the instance listens for peers.
+    :param advertised_peer_port: port that it registers for its peers; the port of a
+        relay if the plan has relays.
     """
 
     name: str
--- a/src/cranberrywheel_load/configuration_reduction.py
+++ b/src/cranberrywheel_load/configuration_reduction.py
@@ -1,4 +1,4 @@
-"""Reduced operators' texts, so that a deployment fits on one machine."""
+"""Reduction of configuration texts to deployments that fit on one machine."""
 
 import configparser
 import io
@@ -11,15 +11,17 @@
 def reduce_configuration(
     text: str, zone_count: int, workers_per_pool: int, slots: int
 ) -> str:
-    """Keep some zones, workers and slots of a text and scale team limits to them.
+    """Reduce the zones, workers and slots of a configuration text.
 
-    Workers of a pool are spread over the zones that stay, each in its own rack.
-    Budgets become one healthy worker.
+    The workers of a pool are spread over the remaining zones, each in its own rack.
+    Team limits are scaled by the remaining fraction of slots, and each service
+    requires one healthy worker.
 
-    :param text: an operators' text.
-    :param zone_count: zones to keep, from the first.
-    :param workers_per_pool: workers that each pool has afterwards.
-    :param slots: slots that each worker has afterwards.
+    :param text: configuration text.
+    :param zone_count: number of zones to keep, from the first.
+    :param workers_per_pool: number of workers of each pool in the result.
+    :param slots: number of slots of each worker in the result.
+    :returns: the reduced configuration text.
     """
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_string(text)
--- a/src/cranberrywheel_load/control_cost.py
+++ b/src/cranberrywheel_load/control_cost.py
@@ -116,7 +116,9 @@
         self._before = self._read()
 
     def _read(self) -> tuple[float, float, int, int, int]:
-        peer_ports = {place.peer_port for place in self._cluster.endpoints.values()}
+        peer_ports = {
+            endpoint.peer_port for endpoint in self._cluster.endpoints.values()
+        }
         platform_port = int(self._cluster.platform_url.rpartition(":")[2])
         relayed_bytes = self._cluster.get_relayed_bytes()
         return (
--- a/src/cranberrywheel_load/demo.py
+++ b/src/cranberrywheel_load/demo.py
@@ -1,4 +1,4 @@
-"""A short tour of a local deployment; ``scripts/demo`` runs it."""
+"""Demonstration of a local deployment; ``scripts/demo`` runs it."""
 
 import json
 import os
@@ -23,7 +23,7 @@
 )
 ZONES = ("glasgow", "edinburgh", "stirling")
 SEED = 1
-#: longest wait for the planners' steps; the whole demo ends within a minute.
+#: Timeout of each step; keeps the whole demo below one minute.
 STEP_TIMEOUT_S = 12.0
 REVOCATION_TIMEOUT_S = 10.0
 LOAD = LoadPlan(duration_ms=4_000, burst_ms=1_000, scale=0.3, cancel_fraction=0.6)
@@ -31,22 +31,26 @@
 
 
 class Demo:
-    """Steps of the tour, printed as they happen."""
+    """Actions of the demo, which print what they do.
+
+    :param cluster: the running deployment.
+    """
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
         self._started_s = time.monotonic()
 
     def print_heading(self, text: str) -> None:
-        """Print a heading with the time since the start."""
+        """Print a heading with the time since the start of the demo."""
         print(f"\n[{time.monotonic() - self._started_s:5.1f} s] {text}", flush=True)
 
     def run_operator_command(
         self, *arguments: str, instances: int | None = None
     ) -> str:
-        """Run ``cranberrywheel``, print its command and output.
+        """Run the ``cranberrywheel`` command and print its arguments and output.
 
-        :param instances: how many entry instances to name; default all.
+        :param instances: number of entry instances passed to it; default: all.
+        :returns: its standard output.
         """
         print("$ cranberrywheel " + " ".join(arguments), flush=True)
         urls = self.cluster.entry_urls()[:instances]
@@ -66,7 +70,7 @@
         return completed.stdout.strip()
 
     def send_call(self, queue: str, key: str, ticket: str = "") -> tuple[int, t.Any]:
-        """Send one keyed call and print its answer."""
+        """Send one call with a team key and print its answer."""
         headers = [f"Authorization: Bearer {key}"]
         headers += [f"Idempotency-Key: {ticket}"] if ticket else []
         url = self.cluster.entry_urls()[0]
@@ -79,27 +83,35 @@
         return status, answer
 
     def request_ticket(self, queue: str, key: str) -> str:
-        """Get one ticket."""
+        """Request one ticket and return it."""
         url = self.cluster.entry_urls()[0] + "/v1/tickets"
         headers = [f"Authorization: Bearer {key}"]
         return str(call_json("POST", url, {"queue": queue}, headers)[1]["tickets"][0])
 
     def read_zone_pools(self, zone: str) -> dict[str, t.Any]:
-        """Return the body of ``pools/<zone>``, or nothing yet."""
+        """Return the body of the stored ``pools/<zone>``; empty if it is absent."""
         url = f"{self.cluster.platform_url}/v1/kv/pools/{zone}"
         status, answer = call_json("GET", url)
         return dict(json.loads(answer["value"])["body"]) if status == 200 else {}
 
     def apply_configuration(self, text: str, name: str) -> None:
-        """Apply a text through the operators' command line."""
+        """Apply a configuration text with the ``cranberrywheel`` command.
+
+        :param name: name of the file to which the text is written.
+        """
         path = self.cluster.folder / name
         path.write_text(text)
         self.run_operator_command("apply", str(path))
 
 
 def show_keys(demo: Demo) -> dict[str, str]:
-    """Grant keys, send calls, withdraw one key and wait for its refusal."""
-    demo.print_heading("Two teams get keys and send calls; a sale needs a ticket.")
+    """Create keys, send calls, revoke one key and wait until it is refused.
+
+    :returns: whole keys by team.
+    """
+    demo.print_heading(
+        "Two teams get keys and send calls; school-reorders needs a ticket."
+    )
     keys = {
         x: demo.run_operator_command("grant", x)
         for x in ("highland-schools", "depot-drivers")
@@ -113,18 +125,18 @@
     ticket = demo.request_ticket("school-reorders", schools)
     demo.send_call("school-reorders", schools, ticket)
     demo.send_call("school-reorders", schools)
-    demo.print_heading("The key of depot-drivers is withdrawn.")
+    demo.print_heading("The key of depot-drivers is revoked.")
     demo.run_operator_command("withdraw", keys["depot-drivers"].partition(".")[0])
     wait_until(
         lambda: demo.send_call("route-sheets", keys["depot-drivers"])[0] == 401,
         REVOCATION_TIMEOUT_S,
-        "withdrawn key is refused",
+        "revoked key is refused",
     )
     return keys
 
 
 def show_load(demo: Demo) -> None:
-    """Send bursts of calls from every team, most of them cancelled."""
+    """Send bursts of calls from every team and cancel most of them."""
     demo.print_heading(
         f"Four seconds of bursts, six calls in ten cancelled; seed={SEED}."
     )
@@ -140,8 +152,10 @@
 
 
 def show_limit_change(demo: Demo) -> None:
-    """Change one limit in the text and show that it is in force."""
-    demo.print_heading("The limit of depot-drivers rises in the text.")
+    """Raise one team's limit in the configuration text and apply it."""
+    demo.print_heading(
+        "The limit of depot-drivers is raised in the configuration text."
+    )
     text = EXAMPLE_PATH.read_text()
     demo.apply_configuration(
         text.replace(OLD_LIMIT_TEXT, NEW_LIMIT_TEXT), "higher-limit.ini"
@@ -149,9 +163,9 @@
 
 
 def show_planner(demo: Demo) -> None:
-    """Start the planners, and wait for a move and for a reboot in a wave."""
+    """Start the planners and wait for a moved worker and a reboot in a wave."""
     demo.print_heading(
-        "Planners start: they spread the pools over the zones and maintain."
+        "Planners start: they spread pools over the zones and reboot workers."
     )
     for zone in ZONES:
         demo.cluster.add_planner(zone)
@@ -200,13 +214,13 @@
         Cluster(plan, pathlib.Path(folder)) as cluster,
     ):
         demo = Demo(cluster)
-        demo.print_heading("The operators apply their text.")
+        demo.print_heading("The operators apply the configuration text.")
         demo.apply_configuration(plan.text, EXAMPLE_PATH.name)
         show_keys(demo)
         show_load(demo)
         show_limit_change(demo)
         show_planner(demo)
-        demo.print_heading("Everything stops.")
+        demo.print_heading("The deployment stops.")
 
 
 if __name__ == "__main__":
--- a/src/cranberrywheel_load/driver.py
+++ b/src/cranberrywheel_load/driver.py
@@ -1,4 +1,4 @@
-"""Callers: one thread that sends planned calls to entry instances over pycurl."""
+"""Load driver that sends planned calls to entry instances from one thread."""
 
 import collections
 import dataclasses
@@ -17,32 +17,37 @@
 from cranberrywheel_load.pattern import Arrival
 from cranberrywheel_standin.history import HistoryWriter
 
-#: a caller's own timeout is the queue's plus this, so that the entry answers first.
+#: Added to the queue's timeout for the caller's own timeout, so that the entry
+#: instance answers first.
 TIMEOUT_MARGIN_MS = 3_000
 CONNECT_TIMEOUT_MS = 1_000
-#: tickets asked for at once, and the stock below which more are asked for.
+#: Tickets per request.
 TICKET_BATCH_SIZE = 32
+#: Number of tickets in stock below which more are requested.
 TICKET_REFILL_THRESHOLD = 8
-#: shorter than the ticket lifetime of ten minutes.
+#: Shorter than the ticket lifetime of ten minutes.
 MAX_TICKET_AGE_MS = 300_000
-#: tries per call, the first one included.
+#: Attempts per call, including the first one.
 MAX_ATTEMPTS = 3
 RETRY_DELAY_MS = 200
 
 
 def monotonic_ms() -> float:
-    """Return the clock that histories use."""
+    """Return the monotonic clock in milliseconds, as histories record it."""
     return time.monotonic_ns() / 1e6
 
 
 @dataclasses.dataclass(kw_only=True)
 class CallResult:
-    """What a caller saw of one HTTP call.
-
-    :param work: ticket, or the first try's request on idempotent queues.
-    :param outcome: ``ok``, ``failed``, ``unknown``, ``not-run`` as answered;
-        ``broken`` without a whole answer; ``cancelled`` by the caller.
-    :param kind: error kind of the answer, or curl's message.
+    """The result of one HTTP call as its caller sees it.
+
+    :param request: unique token of this attempt.
+    :param work: the ticket; on idempotent queues the token of the first attempt.
+    :param entry: base URL of the entry instance.
+    :param outcome: ``ok``, ``failed``, ``unknown`` or ``not-run`` as answered;
+        ``broken`` without a complete answer; ``cancelled`` by the caller.
+    :param kind: error kind of the answer, or the message of curl.
+    :param wanted: whether the caller did not cancel the call.
     """
 
     request: str
@@ -63,7 +68,7 @@
 class _Call:
     arrival: Arrival
     ticket: str
-    tries: int
+    attempt: int
     result: CallResult
     curl: pycurl.Curl
     answer: io.BytesIO
@@ -71,7 +76,7 @@
 
 
 class TicketStock:
-    """Tickets at hand for each team and queue, and calls that wait for one."""
+    """Unused tickets by team and queue, and the calls that wait for a ticket."""
 
     def __init__(self) -> None:
         self._tickets: dict[tuple[str, str], collections.deque[tuple[float, str]]]
@@ -81,12 +86,12 @@
         self.waiting = collections.defaultdict(list)
 
     def add(self, stock_key: tuple[str, str], tickets: t.Iterable[str]) -> None:
-        """Keep tickets for a team and queue."""
-        now = monotonic_ms()
-        self._tickets[stock_key].extend((now, ticket) for ticket in tickets)
+        """Add tickets of a team and queue."""
+        now_ms = monotonic_ms()
+        self._tickets[stock_key].extend((now_ms, ticket) for ticket in tickets)
 
     def take(self, stock_key: tuple[str, str]) -> str:
-        """Return a ticket that can still start, or ``""``."""
+        """Remove and return a ticket that has not expired, or ``""``."""
         stock = self._tickets[stock_key]
         while stock:
             issued_ms, ticket = stock.popleft()
@@ -95,7 +100,7 @@
         return ""
 
     def needs_refill(self, stock_key: tuple[str, str]) -> bool:
-        """Return whether more should be asked for."""
+        """Return whether tickets should be requested now."""
         return (
             len(self._tickets[stock_key]) < TICKET_REFILL_THRESHOLD
             and stock_key not in self.requested
@@ -103,13 +108,13 @@
 
 
 class LoadDriver:
-    """Sends arrivals at their times; use it from one thread.
+    """Sends calls at their planned times; not thread-safe.
 
     :param choose_entry: returns the base URL of an entry instance for a call.
     :param configuration: queues with their timeouts.
-    :param keys_by_team: whole team keys.
-    :param rng: seeded source of request tokens.
-    :param history: receives invocations and responses.
+    :param keys_by_team: whole team keys, with their secrets.
+    :param rng: seeded random source of the request tokens.
+    :param history: history that records invocations and responses.
     """
 
     def __init__(
@@ -142,8 +147,10 @@
     ) -> None:
         """Send all arrivals and wait for their answers.
 
-        :param end_ms: reading of :func:`monotonic_ms` at which to give up.
-        :param waves_ms: times from the start at which every open call is cancelled.
+        :param end_ms: time of :func:`monotonic_ms` at which open calls are closed
+            with the outcome ``broken``.
+        :param cancellation_times_ms: times from the start of the run at which all
+            open calls are cancelled.
         """
         start_ms = monotonic_ms()
         for cancellation_ms in cancellation_times_ms:
@@ -151,15 +158,15 @@
         for arrival in arrivals:
             self._schedule(start_ms + arrival.at_ms, self._send_arrival, arrival, 1)
         while self._scheduled or self._calls or self._ticket_calls:
-            now = monotonic_ms()
-            if now >= end_ms:
+            now_ms = monotonic_ms()
+            if now_ms >= end_ms:
                 break
-            while self._scheduled and self._scheduled[0][0] <= now:
+            while self._scheduled and self._scheduled[0][0] <= now_ms:
                 heapq.heappop(self._scheduled)[2]()
             self._multi.perform()
             self._process_finished_requests()
-            next_ms = self._scheduled[0][0] if self._scheduled else now + 100
-            wait_ms = min(max(next_ms - monotonic_ms(), 0), 100, end_ms - now)
+            next_ms = self._scheduled[0][0] if self._scheduled else now_ms + 100
+            wait_ms = min(max(next_ms - monotonic_ms(), 0), 100, end_ms - now_ms)
             self._multi.select(wait_ms / 1000)
         self._close_open_calls()
 
@@ -183,21 +190,19 @@
                 self._record_missing_ticket(arrival)
             waiting.clear()
 
-    # Tickets
-
-    def _send_arrival(self, arrival: Arrival, tries: int) -> None:
-        """Send a call, with a ticket if its queue needs one."""
+    def _send_arrival(self, arrival: Arrival, attempt: int) -> None:
+        """Send a call, or queue it until its ticket arrives if it needs one."""
         if self._configuration.queues_by_name[arrival.queue].idempotent:
-            self._send_call(arrival, "", tries)
+            self._send_call(arrival, "", attempt)
             return
         stock_key = (arrival.team, arrival.queue)
         ticket = self.stock.take(stock_key)
         if self.stock.needs_refill(stock_key):
             self._request_tickets(stock_key)
         if ticket:
-            self._send_call(arrival, ticket, tries)
+            self._send_call(arrival, ticket, attempt)
         else:
-            self.stock.waiting[stock_key].append((arrival, tries))
+            self.stock.waiting[stock_key].append((arrival, attempt))
 
     def _request_tickets(self, stock_key: tuple[str, str]) -> None:
         self.stock.requested.add(stock_key)
@@ -218,12 +223,12 @@
             tickets = []
         self.stock.add(stock_key, tickets)
         waiting, self.stock.waiting[stock_key] = self.stock.waiting[stock_key], []
-        for arrival, tries in waiting:
+        for arrival, attempt in waiting:
             if tickets:
-                self._send_arrival(arrival, tries)
-            elif tries < MAX_ATTEMPTS:
-                due_ms = monotonic_ms() + RETRY_DELAY_MS * tries
-                self._schedule(due_ms, self._send_arrival, arrival, tries + 1)
+                self._send_arrival(arrival, attempt)
+            elif attempt < MAX_ATTEMPTS:
+                due_ms = monotonic_ms() + RETRY_DELAY_MS * attempt
+                self._schedule(due_ms, self._send_arrival, arrival, attempt + 1)
             else:
                 self._record_missing_ticket(arrival)
 
@@ -232,8 +237,6 @@
         result.outcome, result.kind = "not-run", "no-ticket"
         self.results.append(result)
 
-    # Calls
-
     def _create_request(
         self,
         url: str,
@@ -271,7 +274,7 @@
         )
 
     def _send_call(
-        self, arrival: Arrival, ticket: str, tries: int, work: str = ""
+        self, arrival: Arrival, ticket: str, attempt: int, work: str = ""
     ) -> None:
         entry = self._choose_entry()
         result = self._create_result(arrival, ticket or work, entry)
@@ -286,7 +289,7 @@
         call = _Call(
             arrival=arrival,
             ticket=ticket,
-            tries=tries,
+            attempt=attempt,
             result=result,
             curl=curl,
             answer=answer,
@@ -304,7 +307,7 @@
         self._multi.add_handle(curl)
         if arrival.cancel_after_ms is not None:
             self._schedule(result.sent_ms + arrival.cancel_after_ms, self._cancel, call)
-        if arrival.repeat_after_ms is not None and ticket and tries == 1:
+        if arrival.repeat_after_ms is not None and ticket and attempt == 1:
             due_ms = result.sent_ms + arrival.repeat_after_ms
             self._schedule(due_ms, self._send_call, arrival, ticket, MAX_ATTEMPTS)
 
@@ -363,7 +366,7 @@
             complete = body.get("digest") == self._digests.get(answer_to)
             fields = {"answer_to": answer_to, "complete": complete}
         else:
-            # A refusal without an outcome must not count as a true not-run.
+            # An error without an outcome does not guarantee that nothing ran.
             outcome = body.get("outcome") or "unknown"
             kind = str(body.get("kind", call.result.status))
         self._history.write(
@@ -380,15 +383,18 @@
         self.results.append(call.result)
 
     def _retry_if_allowed(self, call: _Call) -> None:
-        """Send a call again that a caller would: same ticket, another try."""
+        """Schedule another attempt, with the same ticket, where a caller would retry.
+
+        Callers retry broken calls and 503 answers with the outcome ``not-run``.
+        """
         refused = call.result.outcome == "not-run" and call.result.status == 503
-        if call.tries >= MAX_ATTEMPTS or not (
+        if call.attempt >= MAX_ATTEMPTS or not (
             refused or call.result.outcome == "broken"
         ):
             return
         arrival = dataclasses.replace(call.arrival, repeat_after_ms=None)
-        due_ms = monotonic_ms() + RETRY_DELAY_MS * call.tries
-        tries = call.tries + 1
+        due_ms = monotonic_ms() + RETRY_DELAY_MS * call.attempt
+        attempt = call.attempt + 1
         self._schedule(
-            due_ms, self._send_call, arrival, call.ticket, tries, call.result.work
+            due_ms, self._send_call, arrival, call.ticket, attempt, call.result.work
         )
--- a/src/cranberrywheel_load/experiment.py
+++ b/src/cranberrywheel_load/experiment.py
@@ -1,4 +1,4 @@
-"""Runs the same load under each fault and measures it from the histories."""
+"""Experiment that runs the same load under each fault scenario and measures it."""
 
 import concurrent.futures
 import dataclasses
@@ -24,26 +24,27 @@
 
 ZONE_COUNT = 3
 WORKERS_PER_POOL = 3
-#: few, so that bursts fill a pool without filling the processors of the machine.
+#: Few, so that bursts saturate a pool but not the processors of the machine.
 SLOTS_PER_WORKER = 2
-#: the store outage of the design, and its short hold time.
+#: Length of the store outage that the design covers, before scaling.
 STORE_OUTAGE_S = 60.0
+#: Settings of the quota leases in the design, before scaling.
 SHORT_HOLD_MS = 150_000
 SHORT_HOLD_MARGIN_MS = 30_000
 LONG_HOLD_MS = 3_900_000
-#: part of the run before the fault begins.
+#: Time from the start of the load to the start of the fault.
 FAULT_DELAY_S = 5.0
 ANSWER_WAIT_MS = 20_000
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ExperimentPlan:
-    """What all rows have in common.
+    """Parameters common to all scenarios.
 
-    :param text: an operators' text; it is reduced to one machine.
-    :param time_scale: factor on the store outage and the hold times.
+    :param text: configuration text; it is reduced to fit on one machine.
+    :param time_scale: factor on the store outage and the quota lease times.
     :param load: the load; its duration must cover the longest fault.
-    :param folder: gets one folder for each row.
+    :param folder: folder in which one folder for each scenario is created.
     """
 
     text: str
@@ -54,12 +55,12 @@
 
     @property
     def pause_s(self) -> float:
-        """Return a pause that is longer than the short hold."""
+        """Return the pause of an entry instance, longer than a short quota lease."""
         return SHORT_HOLD_MS * self.time_scale / 1000 + 2
 
 
 def build_cluster_plan(plan: ExperimentPlan, with_relays: bool) -> ClusterPlan:
-    """Return a deployment with one entry instance in each zone."""
+    """Return the plan of a deployment with one entry instance in each zone."""
     text = reduce_configuration(
         plan.text, ZONE_COUNT, WORKERS_PER_POOL, SLOTS_PER_WORKER
     )
@@ -78,7 +79,7 @@
 
 
 def prepare_cluster(cluster: Cluster) -> dict[str, str]:
-    """Apply the text and grant a key to each team.
+    """Apply the configuration, create a key for each team and wait for readiness.
 
     :returns: whole keys by team.
     """
@@ -91,7 +92,7 @@
 
 
 def run_scenario(plan: ExperimentPlan, scenario: FaultScenario) -> Figures:
-    """Run the load under one fault and measure it."""
+    """Run the load under one fault scenario and return its metrics."""
     folder = plan.folder / scenario.name.replace(" ", "-")
     folder.mkdir(parents=True)
     rng = random.Random(plan.seed)
@@ -152,7 +153,7 @@
 
 
 def build_figures_row(name: str, figures: Figures) -> list[t.Any]:
-    """Return one line of the table."""
+    """Return the cells of one scenario's table row."""
     return [
         name,
         figures.useful,
@@ -174,9 +175,10 @@
     scenarios: t.Sequence[FaultScenario],
     print_line: t.Callable[[str], None],
 ) -> dict[str, Figures]:
-    """Run all rows, one after the other, and print a table.
+    """Run scenarios one after the other and print a table of their metrics.
 
-    :param show: prints one line.
+    :param print_line: function that prints one line.
+    :returns: metrics by scenario name.
     """
     print_line(
         f"seed={plan.seed} time_scale={plan.time_scale:.4g} "
--- a/src/cranberrywheel_load/fault_proxy.py
+++ b/src/cranberrywheel_load/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback TCP proxy that delays, resets, cuts one way or silences connections."""
+"""TCP proxy that delays, resets, refuses or blackholes connections."""
 
 import enum
 import selectors
@@ -9,12 +9,17 @@
 
 READ_BYTES = 65_536
 POLL_INTERVAL_S = 0.05
-#: Linger of zero seconds: closing such a socket resets its connection.
+#: SO_LINGER enabled with zero seconds: closing the socket sends a TCP reset.
 RESET_LINGER = struct.pack("ii", 1, 0)
 
 
 class Fault(enum.Enum):
-    """What happens to the bytes; ``CUT_ANSWERS`` lets only requests pass."""
+    """Treatment of connections.
+
+    ``DELAY`` forwards bytes after a delay, ``SILENCE`` discards them in both
+    directions, ``CUT_ANSWERS`` discards only those from the target, ``REFUSE``
+    resets connections.
+    """
 
     NONE = "none"
     DELAY = "delay"
@@ -24,13 +29,13 @@
 
 
 class FaultProxy:
-    """Passes connections on to a target, under the fault that is set.
+    """Forwards connections to a target and applies the current fault.
 
-    Bytes that are held back by a fault are lost with their connection, as when one
-    end gives up behind a partition.
+    A connection on which bytes were discarded forwards nothing any more, also after
+    the fault has ended, like a connection whose peer gave up during a partition.
 
-    :param listen: address of the proxy.
-    :param target: address that it stands for.
+    :param listen: address on which the proxy listens.
+    :param target: address to which connections are forwarded.
     """
 
     def __init__(self, listen: tuple[str, int], target: tuple[str, int]) -> None:
@@ -45,17 +50,20 @@
         self._thread = threading.Thread(target=self._accept_connections, daemon=True)
 
     def start(self) -> None:
-        """Start to accept."""
+        """Start accepting connections."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Close everything."""
+        """Close the listener and reset all connections."""
         self._stopped = True
         self._listener.close()
         self.reset()
 
     def set(self, fault: Fault, delay_s: float = 0.0) -> None:
-        """Set the fault for all connections, old and new."""
+        """Set the fault for existing and new connections.
+
+        :param delay_s: delay of each chunk of bytes under ``DELAY``.
+        """
         self.delay_s = delay_s
         self.fault = fault
         if fault is Fault.REFUSE:
@@ -70,7 +78,7 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_LINGER)
                 sock.close()
             except OSError:
-                pass  # it was closed by its pump
+                pass  # closed by the connection's own thread
 
     def _accept_connections(self) -> None:
         while not self._stopped:
@@ -79,7 +87,7 @@
             except TimeoutError:
                 continue
             except OSError:
-                return  # the proxy stops
+                return  # stop() closed the listener
             threading.Thread(
                 target=self._handle_connection, args=(client,), daemon=True
             ).start()
@@ -129,7 +137,7 @@
                     key.data.sendall(data)
 
     def _discard_bytes(self, client: socket.socket, server: socket.socket) -> None:
-        """Keep a connection open without passing anything on, for good."""
+        """Keep a connection open, discarding the client's bytes, until it closes."""
         while not self._stopped and client.fileno() >= 0 and server.fileno() >= 0:
             time.sleep(POLL_INTERVAL_S)
             try:
--- a/src/cranberrywheel_load/faults.py
+++ b/src/cranberrywheel_load/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the experiment's rows, each a script that runs beside the load."""
+"""Fault scenarios of the experiment, each a script that runs during the load."""
 
 import dataclasses
 import threading
@@ -8,19 +8,21 @@
 from cranberrywheel_load.driver import monotonic_ms
 from cranberrywheel_load.measures import PlannedStop
 
-#: bound after which a failing or leaving target gets no new work.
+#: Time after which a failing or leaving target must receive no new work.
 LEAVING_BOUND_MS = 5_000
-#: answers lost per second while the fault lasts.
+#: Platform answers dropped per second while the fault lasts.
 LOST_ANSWERS_PER_S = 3
 
 
 @dataclasses.dataclass
 class FaultRun:
-    """What a fault script uses and reports.
+    """Input and output of a fault script.
 
     :param outage_s: length of the store outage.
-    :param pause_s: length of the pause; longer than the short hold.
-    :param failing: worker that fails, and the time from which it does.
+    :param pause_s: length of the pause; longer than a short quota lease.
+    :param stops: graceful shutdowns that the script recorded.
+    :param failing: failing worker and the time from which it fails, if there is one.
+    :param ended: set when the load has ended.
     """
 
     cluster: Cluster
@@ -31,23 +33,23 @@
     ended: threading.Event = dataclasses.field(default_factory=threading.Event)
 
     def wait(self, seconds: float) -> None:
-        """Wait, but not beyond the end of the run."""
+        """Wait for a time, or until the load has ended."""
         self.ended.wait(seconds)
 
 
 def inject_nothing(run: FaultRun) -> None:
-    """Do nothing."""
+    """Inject no fault."""
 
 
 def kill_entry(run: FaultRun) -> None:
-    """Kill an entry instance and start a new one on its address."""
+    """Kill an entry instance and restart it on the same ports after three seconds."""
     run.cluster.processes["entry-2"].kill()
     run.wait(3)
     run.cluster.restart("entry-2")
 
 
 def pause_entry(run: FaultRun) -> None:
-    """Pause an entry instance for longer than its short hold."""
+    """Pause an entry instance for longer than a short quota lease."""
     process = run.cluster.processes["entry-2"]
     process.pause()
     run.wait(run.pause_s)
@@ -55,21 +57,21 @@
 
 
 def partition_zone(run: FaultRun) -> None:
-    """Cut a zone off for as long as a store outage."""
+    """Isolate a zone for the length of the store outage."""
     run.cluster.partition(run.cluster.endpoints["entry-2"].zone)
     run.wait(run.outage_s)
     run.cluster.heal()
 
 
 def stop_store(run: FaultRun) -> None:
-    """Let the platform answer 503 to everything."""
+    """Let the platform answer every request with 503."""
     run.cluster.set_platform_faults(outage=True)
     run.wait(run.outage_s)
     run.cluster.set_platform_faults()
 
 
 def lose_answers(run: FaultRun) -> None:
-    """Let some writes of each second take effect unanswered."""
+    """Let the platform apply some writes each second without answering them."""
     for _ in range(round(run.outage_s)):
         run.cluster.set_platform_faults(lose_answers=LOST_ANSWERS_PER_S)
         run.wait(1)
@@ -77,19 +79,19 @@
 
 
 def fail_worker(run: FaultRun) -> None:
-    """Let one worker fail everything, until the end of the run."""
+    """Let one worker fail all tasks until the end of the run."""
     worker = next(iter(run.cluster.configuration.workers_by_name))
     run.cluster.set_worker_faults(worker, fail=True)
     run.failing = (worker, monotonic_ms())
 
 
 def replace_entries(run: FaultRun) -> None:
-    """Replace the entry instances one after the other by graceful stops."""
-    for name, place in list(run.cluster.endpoints.items()):
+    """Stop and restart the entry instances gracefully, one after the other."""
+    for name, endpoint in list(run.cluster.endpoints.items()):
         process, start_ms = run.cluster.processes[name], monotonic_ms()
         process.terminate()
         process.wait()
-        run.stops.append(PlannedStop(place.url, start_ms, monotonic_ms()))
+        run.stops.append(PlannedStop(endpoint.url, start_ms, monotonic_ms()))
         run.cluster.restart(name)
         run.cluster.wait_until_ready(name)
 
@@ -106,10 +108,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class FaultScenario:
-    """One row of the experiment.
+    """One scenario of the experiment.
 
-    :param waves: whether all open calls are cancelled every two seconds.
-    :param partitions: whether the script needs relays between the zones.
+    :param name: name in the table and on the command line.
+    :param script: injects the fault and ends it.
+    :param cancels_in_waves: whether all open calls are cancelled every two seconds.
+    :param needs_relays: whether the script needs relays between the zones.
     """
 
     name: str
--- a/src/cranberrywheel_load/main.py
+++ b/src/cranberrywheel_load/main.py
@@ -19,19 +19,19 @@
 from cranberrywheel_load.soak import SoakPlan, run_soak
 from cranberrywheel_standin.history import HistoryWriter
 
-#: time after the last arrival in which answers are waited for.
+#: Time after the end of the arrivals for which the driver waits for answers.
 ANSWER_WAIT_MS = 20_000
 EXIT_USAGE = 2
 
 
 def read_keys(path: str) -> dict[str, str]:
-    """Read ``team key`` lines."""
+    """Read a file of ``team key`` lines and return the keys by team."""
     lines = pathlib.Path(path).read_text().splitlines()
     return dict(line.split(None, 1) for line in lines if line.strip())
 
 
 def read_weights(text: str) -> dict[str, float]:
-    """Read ``team=weight,...``."""
+    """Parse ``team=weight,...`` and return the weights by team."""
     pairs = (part.partition("=") for part in text.split(",") if part)
     return {team: float(weight) for team, _, weight in pairs}
 
@@ -41,27 +41,29 @@
 
 
 class RunCommand(Command):
-    """Sends the calls of one plan to entry instances that are running."""
+    """Sends the calls of one plan to running entry instances."""
 
     name = "run"
     description = "Drive entry instances with bursts, cancellations and retries."
     options = [
         _create_option("entries", "Base URLs, separated by commas."),
-        _create_option("configuration", "The operators' text with queues and teams."),
+        _create_option("configuration", "Configuration text with queues and teams."),
         _create_option("keys", "File of 'team key' lines."),
         _create_option("seconds", "Length of the run.", "30"),
         _create_option("surge-seconds", "Length of one queue's burst.", "3"),
         _create_option("scale", "Factor on the mean rates.", "1"),
-        _create_option("cancel", "Part of the calls that are cancelled.", "0.6"),
-        _create_option("repeat", "Part of ticketed calls sent twice.", "0.1"),
-        _create_option("mix", "Weights as team=weight,...; default the shares.", ""),
+        _create_option("cancel", "Fraction of the calls that are cancelled.", "0.6"),
+        _create_option("repeat", "Fraction of ticketed calls sent twice.", "0.1"),
         _create_option(
-            "queues", "Queues to use, separated by commas; default all.", ""
+            "mix", "Weights as team=weight,...; default: the teams' shares.", ""
         ),
-        _create_option("max-calls", "Bound on the calls.", "100000"),
+        _create_option(
+            "queues", "Queues to use, separated by commas; default: all.", ""
+        ),
+        _create_option("max-calls", "Maximum number of calls.", "100000"),
         _create_option("seed", "Seed of the random choices.", "1"),
         _create_option("json", "File for the summary and each call."),
-        _create_option("history", "File for the history.", ""),
+        _create_option("history", "History file to write.", ""),
     ]
 
     def handle(self) -> int:
@@ -98,21 +100,27 @@
 
 
 class ExperimentCommand(Command):
-    """Measures a local deployment under each fault."""
+    """Measures a local deployment under each fault scenario."""
 
     name = "experiment"
-    description = "Run the same load under each fault and print the figures."
+    description = "Run the same load under each fault scenario and print a table."
     options = [
         _create_option(
-            "configuration", "An operators' text.", "examples/kayis-birligi.ini"
+            "configuration", "Configuration text.", "examples/kayis-birligi.ini"
+        ),
+        _create_option(
+            "rows", "Scenario names, separated by commas; default: all.", ""
         ),
-        _create_option("rows", "Row names, separated by commas; default all.", ""),
-        _create_option("seconds", "Length of each row's load.", "30"),
+        _create_option("seconds", "Length of each scenario's load.", "30"),
         _create_option("surge-seconds", "Length of one queue's burst.", "3"),
         _create_option("scale", "Factor on the mean rates.", "0.25"),
-        _create_option("time-scale", "Factor on outage and hold times.", "0.16667"),
+        _create_option(
+            "time-scale", "Factor on outage and quota lease times.", "0.16667"
+        ),
         _create_option("seed", "Seed of the random choices.", "1"),
-        _create_option("folder", "New folder for logs and histories.", "experiment"),
+        _create_option(
+            "folder", "Folder to create for logs and histories.", "experiment"
+        ),
         _create_option("json", "File for the figures."),
     ]
 
@@ -120,7 +128,7 @@
         selected = tuple(filter(None, self.option("rows").split(",")))
         unknown = set(selected) - {scenario.name for scenario in SCENARIOS}
         if unknown:
-            self.line_error(f"<error>unknown rows: {', '.join(unknown)}</error>")
+            self.line_error(f"<error>unknown scenarios: {', '.join(unknown)}</error>")
             return EXIT_USAGE
         plan = ExperimentPlan(
             text=pathlib.Path(self.option("configuration")).read_text(),
@@ -142,16 +150,16 @@
 
 
 class SoakCommand(Command):
-    """Plays random faults against real processes and checks the promises."""
+    """Injects random faults into node processes and checks the guarantees."""
 
     name = "soak"
-    description = "Run node processes under random faults; exit 1 if a promise breaks."
+    description = "Run nodes under random faults; exit 1 if a guarantee is violated."
     help = "Example: cranberrywheel-load soak --seed 1 --seeds 10 --seconds 12"
     options = [
         _create_option("seed", "First seed.", "1"),
-        _create_option("seeds", "How many seeds, one after the other.", "1"),
-        _create_option("seconds", "Length of the faults of each seed.", "12"),
-        _create_option("submissions", "Submissions of each seed.", "40"),
+        _create_option("seeds", "Number of consecutive seeds to run.", "1"),
+        _create_option("seconds", "Length of the fault period of each seed.", "12"),
+        _create_option("submissions", "Number of submissions of each seed.", "40"),
         _create_option("folder", "Folder for settings and logs.", "soak"),
     ]
 
--- a/src/cranberrywheel_load/measures.py
+++ b/src/cranberrywheel_load/measures.py
@@ -1,4 +1,4 @@
-"""Figures of a run, from its histories."""
+"""Metrics of a run, computed from its histories and call results."""
 
 import collections
 import dataclasses
@@ -22,13 +22,16 @@
     parse_lines,
 )
 
-#: windows in which closeness to share is measured.
+#: Length of the windows in which the closeness to the share is computed.
 WINDOW_MS = 1_000
 
 
 @dataclasses.dataclass(frozen=True)
 class PlannedStop:
-    """A graceful shutdown of an entry instance during a run."""
+    """A graceful shutdown of an entry instance during a run.
+
+    :param entry: base URL of the instance.
+    """
 
     entry: str
     start_ms: float
@@ -36,7 +39,7 @@
 
 
 def read_events(folder: pathlib.Path) -> list[t.Any]:
-    """Read all history files of a run, and the adoptions in the logs."""
+    """Read all history files of a run and the configuration adoptions in its logs."""
     events: list[t.Any] = []
     for path in sorted(folder.glob("entry-*.log")):
         events += parse_adoptions(path.stem, path.read_text(errors="replace"))
@@ -45,7 +48,7 @@
     return events
 
 
-#: curl's messages for a connection that was never accepted.
+#: Messages of curl for a connection that was not accepted.
 _CONNECT_FAILURE = re.compile("refused|connect to", re.IGNORECASE)
 _ADOPTION_LINE = re.compile(
     r"^I(\d{4} [\d:.]+) .*adopted configuration version=(\d+)", re.MULTILINE
@@ -53,12 +56,13 @@
 
 
 def parse_adoptions(name: str, log: str) -> list[Adopt]:
-    """Return the configuration versions that an entry instance logged.
+    """Return the configuration versions that an entry instance logged as adopted.
 
-    Log lines carry the wall clock, which is converted by its present distance from
-    the monotonic clock; the order within a process does not depend on that.
+    Log lines carry wall-clock times. They are converted with the current offset to
+    the monotonic clock, which keeps the order within a process.
 
-    :param name: name of the instance; each of its starts counts as a process.
+    :param name: name of the instance; each of its starts is a separate process.
+    :param log: content of its log file.
     """
     offset_ms = (time.time_ns() - time.monotonic_ns()) / 1e6
     year = datetime.date.today().year
@@ -78,13 +82,13 @@
 
 
 Interval = tuple[float, float, str]
-"""Start, end and team of a running task or of a call that waits."""
+"""Start and end in milliseconds, and team, of a task or a call."""
 
 
 def compute_mean_counts(
     intervals: t.Iterable[Interval], start_ms: float, end_ms: float
 ) -> dict[str, float]:
-    """Return the mean number of open intervals of each team in a window."""
+    """Return the mean number of concurrent intervals of each team in a window."""
     open_ms: dict[str, float] = collections.defaultdict(float)
     for begin, end, team in intervals:
         open_ms[team] += max(0.0, min(end, end_ms) - max(begin, start_ms))
@@ -97,7 +101,7 @@
     shares: t.Mapping[str, float],
     capacity: float,
 ) -> dict[str, float]:
-    """Return min(1, used / min(share x capacity, demand)) of teams with demand."""
+    """Return min(1, used / min(share x capacity, demand)) for teams with demand."""
     return {
         team: min(1.0, used_slots.get(team, 0.0) / wanted)
         for team, share in shares.items()
@@ -106,7 +110,7 @@
 
 
 def _list_call_intervals(results: t.Sequence[CallResult]) -> dict[str, list[Interval]]:
-    """Return intervals by queue, from the first sending of a work to its last end."""
+    """Return by queue the intervals from the first attempt of work to its last end."""
     spans: dict[tuple[str, str, str], tuple[float, float]] = {}
     for result in results:
         key = (result.queue, result.team, result.work)
@@ -131,9 +135,10 @@
 def compute_share_closeness(
     history: History, results: t.Sequence[CallResult], configuration: Configuration
 ) -> dict[str, float]:
-    """Return the mean closeness to share of each team over full windows.
+    """Return the mean closeness to the share of each team over saturated windows.
 
-    A window of a service counts if its calls ask for at least its slots.
+    A window of a service is saturated if its mean number of open calls is at least
+    the number of its slots.
     """
     calls, tasks = _list_call_intervals(results), _list_task_intervals(history)
     shares = {n: x.share for n, x in configuration.teams_by_name.items()}
@@ -168,7 +173,7 @@
 def compute_urgent_start_times(
     history: History, configuration: Configuration
 ) -> dict[str, float]:
-    """Return percentiles of the time from an urgent call to its first start."""
+    """Return percentiles of the time from an urgent call to its first task start."""
     waits = []
     for invoke in history.select(Invoke):
         work = history.get_work_id(invoke.request)
@@ -182,7 +187,7 @@
 
 
 def find_peak_running(history: History) -> dict[str, int]:
-    """Return the greatest number of tasks that each team had running at once."""
+    """Return the peak number of concurrently running tasks of each team."""
     changes = []
     for intervals in _list_task_intervals(history).values():
         for begin, end, team in intervals:
@@ -197,7 +202,7 @@
 
 
 def find_max_runs_per_ticket(history: History) -> int:
-    """Return the greatest number of starts of one ticket."""
+    """Return the maximum number of task starts of any ticket."""
     tickets = {e.ticket for e in history.select(Invoke) if e.ticket}
     return max((len(history.starts_by_work_id.get(x, [])) for x in tickets), default=0)
 
@@ -205,7 +210,7 @@
 def count_calls_cut_by_stops(
     results: t.Sequence[CallResult], stops: t.Sequence[PlannedStop]
 ) -> int:
-    """Return calls that a planned stop broke after they were accepted."""
+    """Return the number of accepted calls that were broken by a planned stop."""
     return sum(
         result.outcome == "broken"
         and not _CONNECT_FAILURE.search(result.kind)
@@ -220,10 +225,10 @@
 def count_starts_after_failure(
     history: History, worker: str, since_ms: float, bound_ms: float
 ) -> int:
-    """Return the tasks that started on a failing worker after a bound.
+    """Return the number of tasks started too late on a failing worker.
 
-    :param since_ms: from when the worker fails everything.
-    :param bound_ms: time from its first failed task, which shows the fault.
+    :param since_ms: time from which the worker fails all tasks.
+    :param bound_ms: time after its first failed task from which starts count.
     """
     failed_ms = [
         end.at_ms
@@ -240,16 +245,19 @@
 
 @dataclasses.dataclass
 class Figures:
-    """What an experiment prints about one run.
-
-    :param closeness: lowest mean closeness to share of any team.
-    :param urgent_ms: percentiles of urgent start times.
-    :param peak: greatest running count by team.
-    :param over_limit: teams whose peak is above their limit.
-    :param false_not_run: answers ``not-run`` whose request ran.
-    :param cut: calls that planned stops broke.
-    :param late_work: starts on a leaving or failing worker after the bound.
-    :param violations: first violation of each rule that the checker rejects.
+    """Metrics of one run of an experiment.
+
+    :param useful: run time answered ``ok`` divided by the requested run time.
+    :param closeness: lowest mean closeness to the share of any team.
+    :param urgent_ms: percentiles of the start times of urgent calls.
+    :param runs_per_ticket: maximum number of task starts of any ticket.
+    :param peak: peak number of concurrently running tasks by team.
+    :param over_limit: teams whose peak exceeds their limit.
+    :param false_not_run: number of ``not-run`` answers to requests that ran.
+    :param cut: number of accepted calls that were broken by planned stops.
+    :param late_work: number of tasks started on leaving or failing workers after the
+        bound.
+    :param violations: one line for each history rule that was violated.
     """
 
     useful: float
@@ -271,10 +279,10 @@
     stops: t.Sequence[PlannedStop] = (),
     late_work: int = 0,
 ) -> Figures:
-    """Compute all figures of one run.
+    """Compute all metrics of one run.
 
-    :param late_work: starts on failing workers after the bound; those on leaving
-        ones are added from the checker.
+    :param late_work: number of late starts on failing workers; the late starts on
+        leaving workers that the history checker finds are added.
     """
     history = History(events)
     verdicts = {v.rule: v for v in check(events)}
--- a/src/cranberrywheel_load/pattern.py
+++ b/src/cranberrywheel_load/pattern.py
@@ -1,4 +1,4 @@
-"""Arrivals of a load run: bursts of one queue at a time, teams, cancellations."""
+"""Arrivals of a load run, in which the queues burst one after the other."""
 
 import dataclasses
 import itertools
@@ -9,24 +9,23 @@
 
 BURST_FACTOR = 5.0
 IDLE_FACTOR = 0.05
-#: least part of a queue's run time after which a caller cancels.
+#: Fraction of a queue's run time before which no caller cancels.
 MIN_CANCEL_FRACTION = 0.05
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadPlan:
-    """What to generate.
+    """Parameters of the generated load.
 
     :param duration_ms: length of the run.
-    :param surge_ms: how long each queue bursts before the next one.
+    :param burst_ms: length of each queue's burst.
     :param scale: factor on the mean rates of the configuration.
-    :param cancel_fraction: part of the calls that their caller cancels.
-    :param repeat_fraction: part of the ticketed calls that their caller sends a
+    :param cancel_fraction: fraction of the calls that their caller cancels.
+    :param repeat_fraction: fraction of the ticketed calls that their caller sends a
         second time, with the same ticket, before the first is answered.
-    :param max_calls: bound on the number of arrivals.
+    :param max_calls: maximum number of arrivals.
     :param queues: queues to use; empty for all.
-    :param weights_by_team: how the calls divide among the teams; empty for
-        their shares.
+    :param weights_by_team: relative call rates of the teams; empty for their shares.
     """
 
     duration_ms: int
@@ -41,12 +40,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Arrival:
-    """One call that a caller will make.
+    """A planned call.
 
     :param at_ms: time from the start of the run.
-    :param cancel_after_ms: when the caller hangs up, or ``None``.
-    :param repeat_after_ms: when the caller sends the same ticket again, or
+    :param team: team whose key is sent; ``""`` on queues that are open to all.
+    :param run_ms: run time of the task.
+    :param cancel_after_ms: time from sending after which the caller disconnects, or
         ``None``.
+    :param repeat_after_ms: time from sending after which the caller sends the same
+        ticket again, or ``None``.
     """
 
     at_ms: float
@@ -58,7 +60,10 @@
 
 
 def compute_rate_factor(index: int, count: int, at_ms: float, burst_ms: int) -> float:
-    """Return the factor on the mean rate of one of ``count`` queues."""
+    """Return the factor on the mean rate of a queue at a time.
+
+    :param index: position of the queue among ``count`` queues, which burst in turn.
+    """
     bursting = int(at_ms // burst_ms) % count
     return BURST_FACTOR if bursting == index else IDLE_FACTOR
 
@@ -66,7 +71,7 @@
 def _generate_queue_times(
     index: int, queue: Queue, count: int, plan: LoadPlan, rng: random.Random
 ) -> t.Iterator[float]:
-    """Yield Poisson arrival times whose rate changes with each surge."""
+    """Yield Poisson arrival times in milliseconds; the rate changes with each burst."""
     for start_ms in range(0, plan.duration_ms, plan.burst_ms):
         end_ms = min(start_ms + plan.burst_ms, plan.duration_ms)
         factor = compute_rate_factor(index, count, start_ms, plan.burst_ms)
@@ -104,11 +109,12 @@
 def plan_arrivals(
     configuration: Configuration, plan: LoadPlan, rng: random.Random
 ) -> list[Arrival]:
-    """Return the arrivals of a run, in time order.
+    """Return the arrivals of a run, ordered by time.
 
-    :param configuration: queues with their mean rates, teams with their rights.
-    :param plan: pattern and bounds.
-    :param rng: seeded source; the same seed gives the same arrivals.
+    :param configuration: queues with their mean rates, and teams with the queues
+        that they may use.
+    :param plan: parameters of the load.
+    :param rng: random source; the same seed yields the same arrivals.
     """
     names = plan.queues or tuple(configuration.queues_by_name)
     teams = configuration.teams_by_name
--- a/src/cranberrywheel_load/processes.py
+++ b/src/cranberrywheel_load/processes.py
@@ -1,4 +1,4 @@
-"""Processes that the load tool starts, and bounded waits."""
+"""Child processes, free ports and waits with a timeout."""
 
 import itertools
 import os
@@ -14,14 +14,14 @@
 POLL_INTERVAL_S = 0.05
 FIRST_PORT = 10_000
 PORT_COUNT = 20_000
-#: A run of a cluster with all workers and relays takes fewer.
+#: More than a cluster with all its workers and relays uses.
 PORT_STRIDE_PER_PROCESS = 500
-#: how long a process may take to exit after SIGTERM before it is killed.
+#: Time that a process gets to exit after SIGTERM before it is killed.
 EXIT_TIMEOUT_S = 20.0
 
 
 class WaitTimeoutError(Exception):
-    """A condition did not become true within its bound."""
+    """A condition did not become true within the timeout."""
 
 
 def wait_until(
@@ -29,9 +29,9 @@
 ) -> t.Any:
     """Poll a condition until it is true.
 
-    :param what: the condition in words, for the error.
-    :returns: the condition's first true value.
-    :raises WaitTimeoutError: after ``timeout_s``.
+    :param description: description of the condition for the error message.
+    :returns: the first true value of the condition.
+    :raises WaitTimeoutError: if it is still false after ``timeout_s`` seconds.
     """
     deadline_s = time.monotonic() + timeout_s
     while True:
@@ -44,11 +44,11 @@
 
 
 def find_free_ports(count: int, host: str = HOST) -> list[int]:
-    """Return distinct ports that are free now.
+    """Return distinct ports that are currently free.
 
-    They lie below the range from which the kernel takes the ports of outgoing
-    connections; one of those could take a port before its server binds it. Each
-    process starts at another place, because tests run side by side.
+    The ports lie below the kernel's ephemeral port range, since an outgoing
+    connection could otherwise occupy a port before its server binds it. The first
+    candidate depends on the process id, because tests run in parallel.
     """
     ports: list[int] = []
     while len(ports) < count:
@@ -71,17 +71,17 @@
 _candidate_ports = _generate_candidate_ports()
 
 
-#: written to a log before each start of its process.
+#: Line written to the log before each start of a process.
 START_LINE = "== process start =="
 
 
 class ManagedProcess:
-    """A Python module run as a process, with its output in a log file.
+    """A Python module that runs as a child process and writes to a log file.
 
-    :param name: name in messages and of the log file.
-    :param arguments: module and its arguments.
-    :param folder: where the log goes.
-    :param environment: further variables.
+    :param name: name used in messages and for the log file.
+    :param arguments: module and its command-line arguments.
+    :param folder: folder of the log file.
+    :param environment: additional environment variables.
     """
 
     def __init__(
@@ -99,12 +99,12 @@
 
     @property
     def pid(self) -> int:
-        """Return the id of the running process."""
+        """Return the process id of the last start."""
         assert self._process is not None, f"{self.name} was not started"
         return self._process.pid
 
     def start(self) -> None:
-        """Start the process; the log is appended to."""
+        """Start the process and append its output to the log file."""
         with self.log.open("ab") as log:
             log.write(START_LINE.encode() + b"\n")
             log.flush()
@@ -125,7 +125,7 @@
         return self._process is not None and self._process.poll() is None
 
     def send_signal(self, signal_number: int) -> None:
-        """Send a signal, if the process still runs."""
+        """Send a signal if the process is running."""
         if self.is_running():
             os.kill(self.pid, signal_number)
 
@@ -134,22 +134,22 @@
         self.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Continue a paused process with SIGCONT."""
         self.send_signal(signal.SIGCONT)
 
     def kill(self) -> None:
-        """End the process at once with SIGKILL."""
+        """Kill the process with SIGKILL and wait for its exit."""
         self.send_signal(signal.SIGKILL)
         self.wait()
 
     def terminate(self) -> None:
-        """Ask for a graceful shutdown and return at once."""
+        """Request a graceful shutdown with SIGTERM, without waiting for it."""
         self.send_signal(signal.SIGTERM)
 
     def wait(self, timeout_s: float = EXIT_TIMEOUT_S) -> int | None:
-        """Wait for the exit.
+        """Wait for the process to exit.
 
-        :returns: the exit code, or ``None`` if it still runs.
+        :returns: the exit code, or ``None`` if it was not started or still runs.
         """
         if self._process is None:
             return None
@@ -159,12 +159,12 @@
             return None
 
     def read_log(self) -> str:
-        """Return the output so far."""
+        """Return the content of the log file."""
         return self.log.read_text(errors="replace") if self.log.exists() else ""
 
 
 def stop_all(processes: t.Sequence[ManagedProcess]) -> None:
-    """Stop processes, gracefully first."""
+    """Terminate processes, and kill those that do not exit in time."""
     for process in processes:
         process.resume()
         process.terminate()
--- a/src/cranberrywheel_load/relay.py
+++ b/src/cranberrywheel_load/relay.py
@@ -1,14 +1,15 @@
 """TCP relays that can partition availability zones.
 
-Every target listens behind relays whose addresses are the ones that others learn. A
-relay either serves one zone only, or finds out which process opened a connection, and
-so its zone, from the kernel's socket table. Cutting a pair of zones holds the bytes
-between them back, as a network that loses packets does: connections neither fail nor
-progress until the cut ends.
-
-The program reads one JSON command a line from its control connection and answers each
-with a line: ``{"listen": [port, target port, zone, asking zone or ""]}``,
-``{"owners": {pid: zone}}`` and ``{"cut": [[zone, zone], ...]}``.
+Other processes connect to a target only through its relays. A relay either serves
+callers of a single zone, or determines a caller's zone from the process that owns the
+connection, which it looks up in the kernel's socket table. While a pair of zones is
+partitioned, bytes between them are held back as in a network that loses all packets:
+connections neither fail nor progress until the partition ends.
+
+The program reads one JSON command per line from its control connection and answers
+each with one line: ``{"listen": [port, target port, zone, source zone or ""]}``,
+``{"owners": {pid: zone}}``, ``{"cut": [[zone, zone], ...]}`` and
+``{"report": true}``, which returns the forwarded bytes by target port.
 """
 
 import asyncio
@@ -20,13 +21,17 @@
 
 HOST = "127.0.0.1"
 READ_BYTES = 65_536
-#: a process's socket may appear in the tables just after the accept.
+#: Lookups are repeated, because a socket may appear in the kernel's table only after
+#: the connection was accepted.
 MAX_OWNER_LOOKUPS = 20
 OWNER_LOOKUP_INTERVAL_S = 0.01
 
 
 def find_socket_inode(table: str, local_port: int, remote_port: int) -> str:
-    """Return the inode of a connection in the text of ``/proc/net/tcp``."""
+    """Return the inode of a connection, or ``""`` if it is not listed.
+
+    :param table: content of ``/proc/net/tcp``.
+    """
     for line in table.splitlines()[1:]:
         fields = line.split()
         ports = [int(fields[i].rpartition(":")[2], 16) for i in (1, 2)]
@@ -36,7 +41,7 @@
 
 
 def owns_socket(pid: int, inode: str) -> bool:
-    """Return whether a process has a socket open."""
+    """Return whether a process has the socket with this inode open."""
     folder = f"/proc/{pid}/fd"
     try:
         names = os.listdir(folder)
@@ -52,22 +57,23 @@
 
 
 class Relays:
-    """All relays of one process."""
+    """The relays of this process and the partitions between their zones."""
 
     def __init__(self) -> None:
         self.zones_by_pid: dict[int, str] = {}
         self._cut_pairs: frozenset[frozenset[str]] = frozenset()
         self._cut_changed = asyncio.Event()
         self._servers: list[asyncio.Server] = []
-        #: Payload bytes in both directions by target port.
+        #: Forwarded payload bytes of both directions by target port.
         self.bytes_by_target: collections.Counter[int] = collections.Counter()
 
     async def listen(
         self, port: int, target_port: int, zone: str, source_zone: str
     ) -> None:
-        """Relay a port to a target in a zone.
+        """Start a relay from a port to a target.
 
-        :param asking: zone of all callers, or ``""`` to look each one up.
+        :param zone: zone of the target.
+        :param source_zone: zone of all callers, or ``""`` to look up each one's zone.
         """
 
         async def accept(
@@ -85,7 +91,7 @@
         self._servers.append(await asyncio.start_server(accept, HOST, port))
 
     def set_cut(self, pairs: t.Iterable[t.Sequence[str]]) -> None:
-        """Replace the pairs of zones between which nothing passes."""
+        """Replace the pairs of zones that are partitioned from each other."""
         self._cut_pairs = frozenset(frozenset(pair) for pair in pairs)
         self._cut_changed.set()
         self._cut_changed = asyncio.Event()
@@ -136,11 +142,11 @@
             writer.write(data)
             await writer.drain()
         await self._wait_until_passable(source, zone)
-        # Closing both ways is enough: neither HTTP nor gRPC uses half-closed sockets.
+        # Both directions can be closed, since HTTP and gRPC use no half-closed sockets.
         writer.close()
 
     async def execute_command(self, command: dict[str, t.Any]) -> dict[str, t.Any]:
-        """Carry out one control command and return its answer."""
+        """Execute one control command and return its answer."""
         if "listen" in command:
             await self.listen(*command["listen"])
         if "owners" in command:
@@ -166,7 +172,8 @@
         control_closed.set()
 
     async with await asyncio.start_server(handle_commands, HOST, control_port):
-        # The relays end with the control connection, that is, with the load tool.
+        # The relays exit when the control connection closes, as it also does when the
+        # load tool exits.
         await control_closed.wait()
 
 
--- a/src/cranberrywheel_load/report.py
+++ b/src/cranberrywheel_load/report.py
@@ -1,4 +1,4 @@
-"""Tables and JSON of what the callers saw."""
+"""Tables and JSON reports of call results."""
 
 import collections
 import dataclasses
@@ -10,14 +10,14 @@
 
 from cranberrywheel_load.driver import CallResult
 
-#: highest value and precision of the latency histograms.
+#: Upper bound of the latency histograms: one hour.
 MAX_LATENCY_MS = 3_600_000
 SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 def compute_percentiles(values_ms: t.Iterable[float]) -> dict[str, float]:
-    """Return percentiles and the maximum of durations in milliseconds."""
+    """Return count, percentiles and maximum of durations in milliseconds."""
     histogram = HdrHistogram(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
     for value in values_ms:
         histogram.record_value(min(max(round(value), 1), MAX_LATENCY_MS))
@@ -32,9 +32,10 @@
 
 
 def compute_useful_fraction(results: t.Sequence[CallResult]) -> float:
-    """Return the run time answered ``ok`` over the run time asked for.
+    """Return the run time of work answered ``ok`` divided by the requested run time.
 
-    Only calls that their caller did not plan to cancel count, each work once.
+    Calls that their caller cancels are ignored, and work that was sent several times
+    counts once.
     """
     offered = {r.work: r.run_ms for r in results if r.wanted}
     done = {r.work: r.run_ms for r in results if r.wanted and r.outcome == "ok"}
@@ -42,7 +43,7 @@
 
 
 def summarize(results: t.Sequence[CallResult]) -> dict[str, t.Any]:
-    """Return outcome counts and latency percentiles of each queue."""
+    """Return the useful fraction, and the counts and latencies of each queue."""
     by_queue: dict[str, list[CallResult]] = collections.defaultdict(list)
     for result in results:
         by_queue[result.queue].append(result)
@@ -60,7 +61,7 @@
 
 
 def format_table(header: t.Sequence[str], rows: t.Iterable[t.Sequence[t.Any]]) -> str:
-    """Return aligned columns; floats keep three decimals."""
+    """Return a table with aligned columns; floats are rounded to three decimals."""
     texts = [
         [f"{cell:.3f}" if isinstance(cell, float) else str(cell) for cell in row]
         for row in rows
@@ -78,7 +79,7 @@
 
 
 def format_queue_table(summary: t.Mapping[str, t.Any]) -> str:
-    """Return the summary as one line for each queue."""
+    """Return a summary as a table with one row for each queue."""
     outcomes = ("ok", "failed", "unknown", "not-run", "broken", "cancelled")
     rows = [
         [
@@ -95,6 +96,6 @@
 def write_json(
     path: str, summary: t.Mapping[str, t.Any], results: t.Sequence[CallResult] = ()
 ) -> None:
-    """Write a summary and, if given, each call."""
+    """Write a summary and the call results as JSON."""
     calls = [dataclasses.asdict(result) for result in results]
     pathlib.Path(path).write_text(json.dumps({**summary, "calls": calls}, indent=1))
--- a/src/cranberrywheel_load/soak.py
+++ b/src/cranberrywheel_load/soak.py
@@ -1,7 +1,8 @@
-"""A randomised fault soak: real processes, a stand-in platform, faults from outside.
+"""Soak test that injects random faults into node processes.
 
-Each seed plays one run. While faults come, callers hand in, ask and cancel; the
-promises are checked from what callers and executors see.
+Each seed determines one run against a stand-in platform. While faults are injected,
+simulated callers create, query and cancel submissions. The guarantees are checked
+from the answers that callers receive and the runs that executors record.
 """
 
 import dataclasses
@@ -27,9 +28,10 @@
 SERVICE_NAME = "pool"
 ROUTE_HOST = "shop.example"
 ROUTE_PREFIX = "/q/"
-#: Time from the last fault in which every accepted submission has to end.
+#: Time after the last fault within which every accepted submission has to reach a
+#: final state.
 COMPLETION_TIMEOUT_S = 20.0
-#: Time in which a fresh deployment has to take its first submission.
+#: Time within which a new deployment has to accept its first submission.
 STARTUP_TIMEOUT_S = 15.0
 CALL_TIMEOUT_MS = 3_000
 FINAL_STATES = {"completed", "failed", "cancelled"}
@@ -37,7 +39,15 @@
 
 @dataclasses.dataclass
 class TrackedSubmission:
-    """What one caller knows of its submission."""
+    """The state of one submission as its caller knows it.
+
+    :param tasks: number of tasks of all steps.
+    :param accepted: whether a node answered that it accepted the submission.
+    :param possibly_accepted: whether an attempt ended without an answer, or with one
+        that does not rule out that the submission runs.
+    :param cancelled: whether a cancellation was accepted or got no answer.
+    :param states: states that nodes reported, in order of arrival.
+    """
 
     submission_id: str
     tasks: int
@@ -49,10 +59,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class SoakPlan:
-    """One run.
+    """Parameters of one run.
 
-    :param seconds: length of the time with faults.
-    :param submissions: how many are handed in during that time.
+    :param seconds: length of the period in which faults are injected.
+    :param submissions: number of submissions created in that period.
+    :param folder: folder for settings and logs.
     """
 
     seed: int
@@ -64,7 +75,11 @@
 def send_call(
     method: str, address: str, path: str, body: bytes | None = None
 ) -> tuple[int, dict[str, t.Any]]:
-    """Make one call as a caller does; status 0 without an answer."""
+    """Send one HTTP request to a node.
+
+    :param address: host and port of the node's front end.
+    :returns: status and JSON object of the answer; status 0 if there is no answer.
+    """
     curl = pycurl.Curl()
     curl.setopt(pycurl.URL, f"http://{address}{path}")
     curl.setopt(pycurl.NOSIGNAL, 1)
@@ -88,7 +103,10 @@
 
 
 class Deployment:
-    """A stand-in platform with real node processes, each behind proxies."""
+    """A stand-in platform and node processes, connected through fault proxies.
+
+    :param folder: folder for settings and logs.
+    """
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
@@ -98,37 +116,37 @@
         self.platform = PlatformServer(PLATFORM_HOST, store_port, machines_port)
         self.executor_proxies: list[FaultProxy] = []
         for number in range(EXECUTOR_COUNT):
-            executor_port, proxied_port = next(ports), next(ports)
+            executor_port, proxy_port = next(ports), next(ports)
             proxy = FaultProxy(
-                (PLATFORM_HOST, proxied_port), (PLATFORM_HOST, executor_port)
+                (PLATFORM_HOST, proxy_port), (PLATFORM_HOST, executor_port)
             )
             self.executor_proxies.append(proxy)
             self.platform.add_executor(
                 f"x{number}",
                 SERVICE_NAME,
                 executor_port,
-                f"{PLATFORM_HOST}:{proxied_port}",
+                f"{PLATFORM_HOST}:{proxy_port}",
                 EXECUTOR_CPU_MILLICORES,
             )
         self.store_proxies: list[FaultProxy] = []
         self.nodes: list[ManagedProcess] = []
         self.front_addresses: list[str] = []
         for number in range(NODE_COUNT):
-            proxied_port, front_address, ready, peer, metrics = (
+            proxy_port, front_port, ready, peer, metrics = (
                 next(ports) for _ in range(5)
             )
-            store = (PLATFORM_HOST, proxied_port)
+            store = (PLATFORM_HOST, proxy_port)
             self.store_proxies.append(FaultProxy(store, (PLATFORM_HOST, store_port)))
             settings = {
                 "nodeName": f"n{number}",
                 "ip": PLATFORM_HOST,
                 "zone": f"z{number}",
                 "listenAddrs": {
-                    "frontend": f"{PLATFORM_HOST}:{front_address}",
+                    "frontend": f"{PLATFORM_HOST}:{front_port}",
                     "ready": f"{PLATFORM_HOST}:{ready}",
                 },
                 "internalPorts": [peer, peer],
-                "platform": {"address": f"{PLATFORM_HOST}:{proxied_port}"},
+                "platform": {"address": f"{PLATFORM_HOST}:{proxy_port}"},
                 "cloudApi": {"address": f"{PLATFORM_HOST}:{machines_port}"},
             }
             path = folder / f"n{number}.json"
@@ -142,12 +160,12 @@
                     f"n{number}", ["cranberrywheel.programs.node"], folder, environment
                 )
             )
-            self.front_addresses.append(f"{PLATFORM_HOST}:{front_address}")
+            self.front_addresses.append(f"{PLATFORM_HOST}:{front_port}")
         self._blocked_nodes: set[int] = set()
         self._stopped = False
 
     def start(self) -> None:
-        """Start everything; processes that end are started again."""
+        """Start all servers and processes, and restart nodes that exit."""
         self.platform.start()
         for proxy in (*self.executor_proxies, *self.store_proxies):
             proxy.start()
@@ -167,12 +185,12 @@
                             node.start()
 
     def set_restart_blocked(self, number: int, down: bool) -> None:
-        """Keep a process from being started again."""
+        """Prevent a node from being restarted, or allow it again."""
         with self.lock:
             (self._blocked_nodes.add if down else self._blocked_nodes.discard)(number)
 
     def heal(self) -> None:
-        """End all faults."""
+        """End all injected faults."""
         for proxy in (*self.executor_proxies, *self.store_proxies):
             proxy.set(Fault.NONE)
         self.platform.refuses = False
@@ -182,7 +200,7 @@
             self.set_restart_blocked(number, False)
 
     def stop(self) -> None:
-        """End every process and server."""
+        """Stop all processes and servers."""
         with self.lock:
             self._stopped = True
         stop_all(self.nodes)
@@ -211,7 +229,11 @@
 def plan_faults(
     plan: SoakPlan, rng: random.Random
 ) -> list[tuple[float, str, int, float]]:
-    """Draw the faults of a run: time, kind, target and length in seconds."""
+    """Choose the faults of a run.
+
+    :returns: start in seconds from the start of the run, kind, number of the target,
+        and length in seconds of each fault.
+    """
     kinds = [
         "node-kill",
         "node-pause",
@@ -228,18 +250,23 @@
         "executor-restart",
     ]
     faults = []
-    at = rng.uniform(0.5, 1.5)
-    while at < plan.seconds:
-        faults.append((at, rng.choice(kinds), rng.randrange(12), rng.uniform(0.3, 5.0)))
-        # Series that overlap: the next fault often comes before this one ends.
-        at += rng.expovariate(1 / 1.5)
+    start_s = rng.uniform(0.5, 1.5)
+    while start_s < plan.seconds:
+        faults.append(
+            (start_s, rng.choice(kinds), rng.randrange(12), rng.uniform(0.3, 5.0))
+        )
+        # The mean distance is shorter than the mean length, so that faults overlap.
+        start_s += rng.expovariate(1 / 1.5)
     return faults
 
 
 def inject_fault(
     deployment: Deployment, kind: str, target: int, length_s: float
 ) -> None:
-    """Bring about one fault, and end it after its length."""
+    """Inject one fault and schedule its end.
+
+    :param target: number that selects the node or the executor, modulo their count.
+    """
     node_number = target % NODE_COUNT
     node = deployment.nodes[node_number]
     store = deployment.store_proxies[node_number]
@@ -283,7 +310,7 @@
 
 
 class SimulatedCallers:
-    """Hands in, asks and cancels, and notes what was answered."""
+    """Creates, queries and cancels submissions and records the answers."""
 
     def __init__(self, deployment: Deployment, rng: random.Random) -> None:
         self._deployment = deployment
@@ -293,18 +320,18 @@
         self.violations: list[str] = []
 
     def run_in_thread(self, function: t.Callable[[], None]) -> None:
-        """Make calls on a thread of their own."""
+        """Run a function that sends calls in a new thread."""
         thread = threading.Thread(target=function, daemon=True)
         self._threads.append(thread)
         thread.start()
 
     def wait(self) -> None:
-        """Wait until every call has its answer or has timed out."""
+        """Wait until every call is answered or has timed out."""
         for thread in self._threads:
             thread.join()
 
     def submit(self) -> None:
-        """Hand in one submission, with retries at any node."""
+        """Create one submission; retry up to twice, each time at a random node."""
         count = self._rng.randint(1, 4)
         submission = TrackedSubmission(f"{self._rng.getrandbits(64):016x}", 2 * count)
         step = {"count": count, "cpu": 1_000, "memMb": 10, "estimatedMs": 500}
@@ -324,12 +351,12 @@
             if 200 <= status < 300:
                 submission.accepted = True
                 return
-            # Only a refusal says that nothing of the submission will ever run.
+            # Only 429 and 503 guarantee that no task of the submission will run.
             submission.possibly_accepted |= status not in (429, 503)
             time.sleep(0.1)
 
     def cancel(self) -> None:
-        """Cancel a submission that was accepted."""
+        """Cancel a random submission that was accepted."""
         candidates = [c for c in self.submissions if c.accepted and not c.cancelled]
         if candidates:
             submission = self._rng.choice(candidates)
@@ -340,16 +367,17 @@
             submission.cancelled |= status == 200 or status == 0
 
     def query_state(self, submission: TrackedSubmission) -> str:
-        """Ask for a state at a random node; ``""`` without an answer."""
+        """Query the state of a submission at a random node.
+
+        :returns: the state, or ``""`` if the node did not report one.
+        """
         front_address = self._rng.choice(self._deployment.front_addresses)
         status, body = send_call(
             "GET", front_address, ROUTE_PREFIX + submission.submission_id
         )
         state = str(body.get("state", "")) if status == 200 else ""
         if status == 410 and submission.accepted:
-            self.violations.append(
-                f"{submission.submission_id} accepted, then not known"
-            )
+            self.violations.append(f"{submission.submission_id} accepted, then unknown")
         if state:
             self._check_state(submission, state)
             submission.states.append(state)
@@ -361,9 +389,9 @@
         if before and state != before[-1]:
             self.violations.append(f"{name} was {before[-1]}, then {state}")
         if state == "cancelled" and not submission.cancelled:
-            self.violations.append(f"{name} shown as cancelled, nobody cancelled it")
+            self.violations.append(f"{name} cancelled without a request to cancel")
         if state == "failed":
-            self.violations.append(f"{name} shown as failed, nothing failed")
+            self.violations.append(f"{name} failed, but no task was made to fail")
         if state == "completed":
             with self._deployment.platform.lock:
                 done = self._deployment.platform.fleet.done_ms_by_task
@@ -375,10 +403,10 @@
 
 
 def run_soak(plan: SoakPlan, report: t.Callable[[str], None]) -> list[str]:
-    """Play one run.
+    """Execute one run.
 
-    :param report: gets a line for each fault.
-    :returns: broken promises in words; empty if all were kept.
+    :param report: receives a line for each injected fault.
+    :returns: descriptions of the violated guarantees; empty if all were kept.
     """
     rng = random.Random(plan.seed)
     plan.folder.mkdir(parents=True, exist_ok=True)
@@ -389,22 +417,27 @@
         _wait_for_start(callers)
         start_s = time.monotonic()
         events: list[tuple[float, t.Callable[[], None]]] = []
-        for at, kind, target, length_s in plan_faults(plan, rng):
+        for offset_s, kind, target, length_s in plan_faults(plan, rng):
 
             def start_fault(
-                k: str = kind, n: int = target, s: float = length_s
+                kind: str = kind, target: int = target, length_s: float = length_s
             ) -> None:
-                report(f"{time.monotonic() - start_s:6.2f} {k} {n} {s:.1f} s")
-                inject_fault(deployment, k, n, s)
+                report(
+                    f"{time.monotonic() - start_s:6.2f} "
+                    f"{kind} {target} {length_s:.1f} s"
+                )
+                inject_fault(deployment, kind, target, length_s)
 
-            events.append((at, start_fault))
+            events.append((offset_s, start_fault))
         for _ in range(plan.submissions):
-            at = rng.uniform(0, plan.seconds)
-            events.append((at, lambda: callers.run_in_thread(callers.submit)))
+            offset_s = rng.uniform(0, plan.seconds)
+            events.append((offset_s, lambda: callers.run_in_thread(callers.submit)))
             if rng.random() < 0.2:
-                events.append((at + 0.5, lambda: callers.run_in_thread(callers.cancel)))
-        for at, event in sorted(events, key=lambda row: row[0]):
-            time.sleep(max(0.0, start_s + at - time.monotonic()))
+                events.append(
+                    (offset_s + 0.5, lambda: callers.run_in_thread(callers.cancel))
+                )
+        for offset_s, event in sorted(events, key=lambda row: row[0]):
+            time.sleep(max(0.0, start_s + offset_s - time.monotonic()))
             event()
         deployment.heal()
         callers.wait()
@@ -415,8 +448,8 @@
 
 
 def _wait_for_start(callers: SimulatedCallers) -> None:
-    end = time.monotonic() + STARTUP_TIMEOUT_S
-    while time.monotonic() < end:
+    deadline_s = time.monotonic() + STARTUP_TIMEOUT_S
+    while time.monotonic() < deadline_s:
         callers.submit()
         if callers.submissions[-1].accepted:
             return
@@ -425,14 +458,17 @@
 
 
 def _check_outcomes(deployment: Deployment, callers: SimulatedCallers) -> list[str]:
-    end = time.monotonic() + COMPLETION_TIMEOUT_S
-    left = [c for c in callers.submissions if c.accepted]
-    while left and time.monotonic() < end:
-        left = [c for c in left if callers.query_state(c) not in FINAL_STATES]
+    deadline_s = time.monotonic() + COMPLETION_TIMEOUT_S
+    unfinished = [c for c in callers.submissions if c.accepted]
+    while unfinished and time.monotonic() < deadline_s:
+        unfinished = [
+            c for c in unfinished if callers.query_state(c) not in FINAL_STATES
+        ]
         time.sleep(0.2)
     violations = list(callers.violations)
     violations += [
-        f"{c.submission_id} has not ended: {c.states[-1:] or 'no answer'}" for c in left
+        f"{c.submission_id} has not ended: {c.states[-1:] or 'no answer'}"
+        for c in unfinished
     ]
     platform = deployment.platform
     with platform.lock:
@@ -441,5 +477,5 @@
     for submission in callers.submissions:
         if not submission.accepted and not submission.possibly_accepted:
             if submission.submission_id in started:
-                violations.append(f"{submission.submission_id} refused, but it ran")
+                violations.append(f"{submission.submission_id} was refused, but ran")
     return violations
--- a/tests/test_measures.py
+++ b/tests/test_measures.py
@@ -31,7 +31,8 @@
 
 
 class MeasuresTest(testtools.TestCase):
-    def test_a_work_counts_once_however_often_it_was_sent(self):
+    def test_work_counts_once_regardless_of_attempts(self):
+        """Guards against retries and cancellations distorting the useful fraction."""
         results = [
             result(work="a", outcome="unknown"),
             result(work="a", outcome="ok"),
@@ -40,7 +41,9 @@
         ]
         self.assertEqual(0.5, compute_useful_fraction(results))
 
-    def test_closeness_asks_no_more_than_demand_or_share(self):
+    def test_closeness_is_relative_to_the_smaller_of_share_and_demand(self):
+        """Guards against a team that counts as underserved without demand or beyond its
+        share."""
         found = compute_closeness(
             {"a": 3.0, "b": 1.0}, {"a": 2.0, "b": 9.0}, {"a": 0.5, "b": 0.25, "c": 1}, 8
         )
@@ -48,22 +51,25 @@
         intervals = [(0, 10, "a"), (5, 20, "a"), (12, 30, "b")]
         self.assertEqual({"a": 1.5}, compute_mean_counts(intervals, 0, 10))
 
-    def test_runs_and_peaks_come_from_starts(self):
+    def test_runs_and_peaks_are_counted_from_task_starts(self):
+        """Guards against missed second runs, and peaks that count a successor twice."""
         invoke = Invoke(at_ms=0, event="invoke", request="r", queue="q", ticket="t")
         again = invoke.model_copy(update={"request": "s"})
         events = [invoke, again, start(1, "w/1"), start(2, "w/2", "s")]
         history = History([*events, end(2, "w/1"), end(3, "w/2")])
         self.assertEqual(2, find_max_runs_per_ticket(history))
-        # One task ends at the reading at which the next starts.
+        # One task ends at the time at which the next one starts.
         self.assertEqual({"a": 1}, find_peak_running(history))
 
-    def test_a_failing_worker_is_judged_from_its_first_failure(self):
+    def test_late_starts_count_from_the_first_failure_of_a_worker(self):
+        """Guards against counting starts before the worker's fault could be noticed."""
         failed = end(500, "w/1").model_copy(update={"how": "failed"})
         events = [start(400, "w/1"), failed, start(900, "w/2"), start(1600, "w/3")]
         self.assertEqual(1, count_starts_after_failure(History(events), "w", 100, 1000))
         self.assertEqual(0, count_starts_after_failure(History(events), "w", 600, 1000))
 
-    def test_adoptions_are_told_apart_by_process_start(self):
+    def test_adoptions_are_assigned_to_process_starts(self):
+        """Guards against a restarted process that seems to adopt an older version."""
         start = f"{START_LINE}\n"
         line = "I1204 06:05:53.814874 1 logs.py:42] [configuration] adopted " + (
             "configuration version={} text_version=1\n"
@@ -74,6 +80,7 @@
         self.assertEqual(expected, found)
 
     def test_only_accepted_calls_of_the_stopping_instance_count_as_cut(self):
+        """Guards against counting refused calls, or calls to other instances."""
         stop = PlannedStop("e1", 10.0, 20.0)
         results = [
             result(outcome="broken", done_ms=15.0, kind="Empty reply from server"),
