--- a/src/cranberrywheel_load/soak.py
+++ b/src/cranberrywheel_load/soak.py
@@ -184,17 +184,19 @@
                         if not node.is_running():
                             node.start()
 
-    def set_restart_blocked(self, number: int, down: bool) -> None:
+    def set_restart_blocked(self, number: int, blocked: bool) -> None:
         """Prevent a node from being restarted, or allow it again."""
         with self.lock:
-            (self._blocked_nodes.add if down else self._blocked_nodes.discard)(number)
+            (self._blocked_nodes.add if blocked else self._blocked_nodes.discard)(
+                number
+            )
 
     def heal(self) -> None:
         """End all injected faults."""
         for proxy in (*self.executor_proxies, *self.store_proxies):
             proxy.set(Fault.NONE)
-        self.platform.refuses = False
-        self.platform.slow_ms = 0
+        self.platform.store_unavailable = False
+        self.platform.store_delay_ms = 0
         for number, node in enumerate(self.nodes):
             node.resume()
             self.set_restart_blocked(number, False)
@@ -291,8 +293,8 @@
         node.kill()
         schedule_end(lambda: deployment.set_restart_blocked(node_number, False))
     elif kind == "store-away":
-        platform.refuses = True
-        schedule_end(lambda: setattr(platform, "refuses", False))
+        platform.store_unavailable = True
+        schedule_end(lambda: setattr(platform, "store_unavailable", False))
     elif kind == "store-delay":
         store.set(Fault.DELAY, 0.15)
         schedule_end(lambda: store.set(Fault.NONE))
@@ -303,7 +305,7 @@
         executor.reset()
     elif kind == "executor-restart":
         with platform.lock:
-            platform.fleet.by_id[f"x{executor_number}"].restart()
+            platform.fleet.executors_by_id[f"x{executor_number}"].restart()
     else:
         executor.set(Fault(kind.removeprefix("executor-")))
         schedule_end(lambda: executor.set(Fault.NONE))
@@ -341,7 +343,9 @@
         platform = self._deployment.platform
         with platform.lock:
             duration_ms = self._rng.randint(100, 1_500)
-            platform.fleet.describe(submission.submission_id, 1_000, duration_ms)
+            platform.fleet.set_task_profile(
+                submission.submission_id, 1_000, duration_ms
+            )
         self.submissions.append(submission)
         for _ in range(3):
             front_address = self._rng.choice(self._deployment.front_addresses)
