--- a/src/cranberrywheel_load/control_cost.py
+++ b/src/cranberrywheel_load/control_cost.py
@@ -115,18 +115,20 @@
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
-        self._pids = [cluster.processes[name].pid for name in cluster.places]
+        self._pids = [cluster.processes[name].pid for name in cluster.endpoints]
         self._totals_at_start = self._read_totals()
 
     def _read_totals(self) -> tuple[float, float, int, int, int]:
-        peer_ports = {place.peer_port for place in self._cluster.places.values()}
+        peer_ports = {
+            endpoint.peer_port for endpoint in self._cluster.endpoints.values()
+        }
         platform_port = int(self._cluster.platform_url.rpartition(":")[2])
-        traffic = self._cluster.traffic()
+        relayed_bytes = self._cluster.get_relayed_bytes()
         return (
             time.monotonic(),
             sum(map(_read_processor_s, self._pids)),
-            sum(count for port, count in traffic.items() if port in peer_ports),
-            traffic.get(platform_port, 0),
+            sum(count for port, count in relayed_bytes.items() if port in peer_ports),
+            relayed_bytes.get(platform_port, 0),
             _count_store_calls(self._cluster),
         )
 
@@ -169,7 +171,7 @@
         tempfile.TemporaryDirectory() as folder,
         _IdleCluster(plan, pathlib.Path(folder)) as cluster,
     ):
-        cluster.apply_text(text)
+        cluster.apply_configuration(text)
         time.sleep(STABILIZATION_S)
         meter = ControlCostMeter(cluster)
         time.sleep(seconds)
