--- a/src/cranberrywheel/platform/configuration.py
+++ b/src/cranberrywheel/platform/configuration.py
@@ -26,9 +26,10 @@
     service: str
     priority: int = 0
     attempts: int = 1
-    objective_factor: float = pydantic.Field(1.0, alias="targetFactor")
-    # Constant part of the latency objective; not the latency of a target.
-    objective_ms: int = pydantic.Field(0, alias="targetLatencyMs")
+    # Factor and constant part of the latency objective; "target" in the aliases is not
+    # a back end. The input may use the field names, too, so they stay.
+    goal_factor: float = pydantic.Field(1.0, alias="targetFactor")
+    goal_ms: int = pydantic.Field(0, alias="targetLatencyMs")
     timeout_ms: int = pydantic.Field(0, alias="timeoutMs")
     public: bool = False
     advisor: dict[str, float] | None = None
@@ -78,8 +79,8 @@
             service=route.service,
             priority=route.priority,
             attempts=max(1, route.attempts),
-            objective_factor=route.objective_factor,
-            objective_ms=route.objective_ms,
+            objective_factor=route.goal_factor,
+            objective_ms=route.goal_ms,
             timeout_ms=route.timeout_ms,
             public=route.public,
             advised=route.advisor is not None,
--- a/src/cranberrywheel/platform/executors.py
+++ b/src/cranberrywheel/platform/executors.py
@@ -25,8 +25,8 @@
 MAX_WAIT_MS = 2_000
 #: Call timeout; a healthy executor answers in a few milliseconds.
 CALL_TIMEOUT_MS = 700
-#: Time added to the wait of a poll before it counts as unanswered; completions stay
-#: unknown for that long when a poll is lost.
+#: Time added to the wait of a poll before it counts as unanswered. It is short because
+#: completions stay unknown until a lost poll has timed out.
 POLL_MARGIN_MS = 350
 #: Most executors in one call to the advisor.
 MAX_EXECUTORS_PER_ADVICE = 100
--- a/src/cranberrywheel/platform/machines.py
+++ b/src/cranberrywheel/platform/machines.py
@@ -31,7 +31,7 @@
     wave: int
     machines: list[str]
     duration_s: float = pydantic.Field(alias="durationS")
-    # Most machines of this wave that may be down at the same time.
+    # Largest number of machines of this wave that may be down at the same time.
     at_once: int = pydantic.Field(1, alias="cap")
 
 
--- a/src/cranberrywheel/platform/settings.py
+++ b/src/cranberrywheel/platform/settings.py
@@ -18,8 +18,10 @@
 
 class _Timing(_WireModel):
     grace_s: float = pydantic.Field(6, alias="gracePeriodS")
-    order_lease_ms: int = pydantic.Field(3000, alias="leaseDurationMs")
-    maintenance_s: float = pydantic.Field(2, alias="maintenanceS")
+    # Lease of machine orders, and duration of the maintenance of a machine. The input
+    # may use the field names, too, so they stay.
+    duty_lease_ms: int = pydantic.Field(3000, alias="leaseDurationMs")
+    upkeep_s: float = pydantic.Field(2, alias="maintenanceS")
 
 
 class _Listen(_WireModel):
@@ -33,7 +35,8 @@
 
 class _Cloud(_WireModel):
     address: str = ""
-    orders_per_s: float = pydantic.Field(64, alias="dutyPerS")
+    # Machine orders per second. The input may use the field name, too, so it stays.
+    duty_per_s: float = pydantic.Field(64, alias="dutyPerS")
 
 
 class _Limits(_WireModel):
@@ -140,7 +143,7 @@
         link_mbps=wire.limits.link_mbps,
         timing=PlatformTiming(
             grace_ms=int(timing.grace_s * 1000),
-            order_lease_ms=timing.order_lease_ms,
-            maintenance_ms=int(timing.maintenance_s * 1000),
+            order_lease_ms=timing.duty_lease_ms,
+            maintenance_ms=int(timing.upkeep_s * 1000),
         ),
     )
--- a/src/cranberrywheel/request/estimates.py
+++ b/src/cranberrywheel/request/estimates.py
@@ -11,8 +11,9 @@
 #: Number of recent sizes kept per queue. Requests are rejected only if all of them
 #: exceed the largest worker, so that one oversized request does not block its queue.
 SIZES_KEPT = 8
-#: One in this many oversized requests is accepted, so that smaller requests of the
-#: queue are noticed.
+#: One in this many oversized requests is accepted. The size of a request is known only
+#: after its run, so without these runs the recorded sizes would never change, and a
+#: queue whose requests have become smaller would be rejected forever.
 RECHECK_INTERVAL = 20
 
 
--- a/src/cranberrywheel/submission/executor.py
+++ b/src/cranberrywheel/submission/executor.py
@@ -26,7 +26,7 @@
     """A completion that is acknowledged once its submission's record is stored.
 
     :param sequence: position in the executor's list of completions.
-    :param live: submission of the run, or ``None`` if nothing has to be stored.
+    :param live: live submission of the run, or ``None`` if nothing has to be stored.
     :param version: version of the submission's record that contains the completion.
     """
 
@@ -44,12 +44,17 @@
 class Executor:
     """An executor and the runs that may be on it. Times are steady milliseconds.
 
+    :ivar entry: latest entry that the executor registered in the store.
     :ivar registered: its entry is in the store.
     :ivar unregistered_ms: when its entry disappeared; 0 while it is registered.
-
+    :ivar boot: start of its present process in Unix milliseconds, see
+        :class:`.executor_orders.ExecutorEntry`; 0 until it is known.
     :ivar fence_confirmed: its present boot has answered a poll of this leader.
     :ivar reachable: the last poll was answered.
     :ivar lease_expiry_ms: when every lease that any order may have granted has expired.
+    :ivar runs: runs that may be on it, by name of the task and number of the run.
+    :ivar used: capacity that its runs reserve: thousandths of a core, megabytes and
+        accelerators.
     :ivar free: capacity that no run reserves.
     :ivar count_by_step: number of runs of each step.
     :ivar cordoned: accepts no new runs, because its machine is due for maintenance or
@@ -58,6 +63,8 @@
     :ivar clock_read_ms: when its clock was last read.
     :ivar received_sequence: last completion that the leader has received.
     :ivar acknowledged_sequence: last completion that the executor may forget.
+    :ivar pending_completions: received completions that are not acknowledged yet, in
+        the order of their sequence numbers.
     :ivar fault_count: recent faults with exponential decay, see
         :mod:`.fault_detection`.
     :ivar fault_counted_ms: when ``fault_count`` was last updated.
--- a/src/cranberrywheel/submission/fault_detection.py
+++ b/src/cranberrywheel/submission/fault_detection.py
@@ -8,7 +8,8 @@
 FAULT_HALF_LIFE_MS = 3_000
 #: Fault count from which other executors are preferred.
 SUSPECT_FAULT_COUNT = 2.5
-#: How long other executors are preferred; disturbances last five to eight seconds.
+#: How long other executors are preferred. The periods in which an executor fails, slows
+#: down or stalls runs last five to eight seconds.
 SUSPECT_MS = 5_000
 #: Time without progress after which a run counts as stalled. Progress is read with
 #: each poll, at least every 1.5 s.
--- a/src/cranberrywheel/submission/live.py
+++ b/src/cranberrywheel/submission/live.py
@@ -207,6 +207,8 @@
 class LiveSubmission:
     """A submission that is accepted and not finished.
 
+    Variables and attributes named ``live`` hold a live submission.
+
     :ivar recovered: it was read from the store at a takeover, so tasks of it may
         already run on executors that the leader has not polled yet.
     :ivar started: an executor has certainly started a run of it.
--- a/src/cranberrywheel/submission/maintenance.py
+++ b/src/cranberrywheel/submission/maintenance.py
@@ -27,7 +27,7 @@
 #: Pressure from which a pool counts as busy, since its queue has a burst.
 BUSY_PRESSURE = 0.35
 #: Machines of an idle pool that may be unavailable at once: a quarter to a third of the
-#: usual pools.
+#: machines of a pool of today's usual size.
 IDLE_POOL_CONCURRENCY = 2
 #: Machines of a busy pool are taken once the number of remaining maintenance rounds is
 #: below this multiple of the number of its remaining machines.
--- a/src/cranberrywheel/submission/model.py
+++ b/src/cranberrywheel/submission/model.py
@@ -166,7 +166,7 @@
 
     :param host: host of the calls that belong to the queue.
     :param prefix: path prefix of the calls that belong to the queue.
-    :param service: pool of executors that runs the queue's tasks.
+    :param service: service whose pool of executors runs the queue's tasks.
     :param priority: 0 is the highest.
     :param attempts: failed runs of one task after which its submission fails.
     :param objective_factor: part of the latency objective that grows with the
@@ -197,7 +197,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A pool of executors.
+    """A service that executors provide, and the pool of these executors.
+
+    Each pool serves one service and has its name, so a service's name is also that of
+    its pool in the platform's list of machines.
 
     :param standby: the pool's machines are switched off and serve as a reserve for
         the other pools.
--- a/src/cranberrywheel/submission/pool_sizing.py
+++ b/src/cranberrywheel/submission/pool_sizing.py
@@ -23,18 +23,21 @@
 RETURN_PRESSURE = 0.45
 #: How long the pressure must stay low first, since a burst has short gaps.
 RETURN_DELAY_MS = 800
-#: Pressure below which a pool is idle, and how long the pressure must stay low first.
+#: Pressure below which a pool is idle, if it has been low for ``IDLE_DELAY_MS``.
 IDLE_PRESSURE = 0.25
+#: How long the pressure of a pool must be low before the pool counts as idle.
 IDLE_DELAY_MS = 1_500
 #: Fraction of its machines that an idle pool keeps switched on.
 IDLE_KEEP_FRACTION = 0.75
-#: Pressure from which a pool gets its own machines back.
+#: Pressure from which a pool gets its own machines back, mostly from the standby
+#: pool, where they are switched off.
 RESTORE_PRESSURE = 0.3
 #: Pressure at which a burst counts as begun when its period is learned.
 BURST_PRESSURE = 0.6
-#: A pool gets its machines back this long before the expected start of its next burst,
-#: and keeps them this long if the burst does not come.
+#: A pool gets its own machines back this long before the expected start of its next
+#: burst.
 BURST_LEAD_MS = 2_500
+#: It keeps them for this long after the expected start if the burst does not come.
 BURST_GRACE_MS = 1_500
 
 
@@ -106,6 +109,8 @@
 ) -> PoolDecision:
     """Decide which machines move, and record the moves as under way.
 
+    A pool has the name of the service that its executors provide.
+
     :param standby_pools: names of the pools whose machines are switched off.
     :param reserved: machines that a maintenance wave still needs where they are.
     :param is_empty: tells whether nothing runs on a machine.
--- a/src/cranberrywheel/submission/state.py
+++ b/src/cranberrywheel/submission/state.py
@@ -140,7 +140,10 @@
         self.dirty_services.update(self.waiting_by_service)
 
     def requeue(self, task: Task) -> None:
-        """Let a task wait for a start unless it is done or its submission has ended."""
+        """Put a task back into the waiting tasks of its step.
+
+        Does nothing if the task is done or its submission has ended.
+        """
         live = task.step_run.live
         if not task.done and not live.final_state:
             task.step_run.add_waiting(task)
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -230,8 +230,9 @@
 def test_handed_over_work_does_not_wait_for_an_unreachable_executor(monkeypatch):
     """Guards against a planned stop of the leader that stalls all waiting work.
 
-    During a partition of an availability zone, work of earlier submissions waited 35
-    to 40 s, until every lease had expired.
+    In a recorded run with a partition of an availability zone, all waiting work of
+    earlier submissions stalled from 35 to 40 s into the run, until every lease had
+    expired.
     """
     harness = LeaderHarness(monkeypatch)
     harness.fleet.add("a", "pool", cpu=1_000)
