--- a/src/cranberrywheel/process/exchange.py
+++ b/src/cranberrywheel/process/exchange.py
@@ -115,7 +115,7 @@
     ) -> None:
         self.process_id = process_id
         self.registration = build_own_registration(settings, process_id)
-        self.holder = ActiveConfiguration(self._on_adopted)
+        self.active_configuration = ActiveConfiguration(self._on_adopted)
         self._settings = settings
         self._clock = clock
         self._to_dispatcher = to_dispatcher
@@ -156,14 +156,14 @@
         with self._lock:
             self._membership.set_instances(listed)
 
-    def record_store_read(self, taken_ms: int) -> None:
+    def record_store_read(self, sent_ms: int) -> None:
         """Record that the configuration was read from the store and adopted.
 
-        :param taken_ms: own clock reading before the read was sent.
+        :param sent_ms: own clock reading before the read was sent.
         """
         with self._lock:
-            self._store_read.record_proof(taken_ms)
-        self._record_proof(taken_ms)
+            self._store_read.record_proof(sent_ms)
+        self._record_proof(sent_ms)
 
     def store_read_age_ms(self) -> int | None:
         """Return the age of the newest store read by this entry or a peer.
@@ -173,14 +173,14 @@
         with self._lock:
             return self._store_read.age_ms(self._clock.now_ms())
 
-    def _record_proof(self, taken_ms: int) -> None:
+    def _record_proof(self, proven_ms: int) -> None:
         """Record that every key revocation accepted up to a time is known here.
 
-        :param taken_ms: own clock reading.
+        :param proven_ms: own clock reading.
         """
         with self._lock:
-            if self._proof.record_proof(taken_ms):
-                self._to_dispatcher(FreshnessProven(taken_ms))
+            if self._proof.record_proof(proven_ms):
+                self._to_dispatcher(FreshnessProven(proven_ms))
 
     def _is_store_down(self) -> bool:
         """Tell whether no entry is known to have read the store recently.
@@ -194,7 +194,7 @@
 
     def add_tombstone(self, key_id: str) -> None:
         """Add a key revocation that may not be in the store yet."""
-        snapshot = self.holder.snapshot
+        snapshot = self.active_configuration.snapshot
         with self._lock:
             if key_id in self._tombstones:
                 return
@@ -206,7 +206,7 @@
 
     def list_unwritten_tombstones(self) -> set[str]:
         """Return the ids of revoked keys that are not known to be in the store."""
-        snapshot = self.holder.snapshot
+        snapshot = self.active_configuration.snapshot
         with self._lock:
             if snapshot is not None:
                 self._tombstones -= snapshot.revoked_key_ids
@@ -218,7 +218,7 @@
         :returns: ids of the processes that confirmed, this one first, and ids of the
             processes that did not.
         """
-        snapshot = self.holder.snapshot
+        snapshot = self.active_configuration.snapshot
         is_stored = snapshot is not None and key_id in snapshot.revoked_key_ids
         confirmed, unconfirmed = [self.process_id], []
         with self._lock:
@@ -271,7 +271,7 @@
                 zone=own.zone,
                 http_address=own.http_address,
                 peer_address=own.peer_address,
-                configuration_version=self.holder.version,
+                configuration_version=self.active_configuration.version,
                 has_proof=proof_age_ms is not None and proof_age_ms < MAX_AGE_MS,
                 leaving_instances=load.leaving_instances,
                 stopping=load.stopping,
@@ -319,7 +319,7 @@
             self._states_by_id[state.process_id] = state
             self._last_seen_ms_by_id[state.process_id] = self._clock.now_ms()
         self._to_dispatcher(self._build_report(state))
-        if state.configuration_version > self.holder.version:
+        if state.configuration_version > self.active_configuration.version:
             return False
         if sent_ms is not None:
             self._merge_ages(state, sent_ms)
@@ -370,7 +370,7 @@
         """
         record = Record("configuration", fetched.record_json, fetched.version)
         try:
-            self.holder.adopt(record)
+            self.active_configuration.adopt(record)
         except StoreError as error:
             raise PeerError(error.message, "Check the peer's version.") from None
 
@@ -379,7 +379,7 @@
 
         :param newer_than: version that the peer has.
         """
-        record = self.holder.record
+        record = self.active_configuration.record
         if record is None or record.revision <= newer_than:
             return ConfigurationRecord()
         return ConfigurationRecord(version=record.revision, record_json=record.value)
--- a/src/cranberrywheel/process/store_session.py
+++ b/src/cranberrywheel/process/store_session.py
@@ -208,9 +208,9 @@
     def _handle(self, message: object) -> None:
         now_ms = self._clock.now_ms()
         if isinstance(message, ApplyConfiguration):
-            self._configuration_writer.apply_text(message, now_ms)
+            self._configuration_writer.apply_configuration(message, now_ms)
         elif isinstance(message, CreateKey):
-            self._configuration_writer.grant_key(message, now_ms)
+            self._configuration_writer.create_key(message, now_ms)
         elif isinstance(message, RevokeKey):
             registered = self._lease.revision > 0
             self._configuration_writer.revoke_key(message, now_ms, registered)
@@ -227,7 +227,7 @@
         if store_allowed:
             self._renew_lease_if_due(now_ms)
         self._configuration_writer.step(now_ms, store_allowed)
-        snapshot = self._peers.holder.snapshot
+        snapshot = self._peers.active_configuration.snapshot
         is_registered = self._registered_revision == self._lease.revision > 0
         if (
             store_allowed
--- a/src/cranberrywheel_spec/freshness_conformance.py
+++ b/src/cranberrywheel_spec/freshness_conformance.py
@@ -25,7 +25,7 @@
     PAIRS,
     key_freshness,
 )
-from cranberrywheel_spec.walk import CompiledModel, Walk
+from cranberrywheel_spec.model_execution import CompiledModel, ModelExecution
 
 _MODEL = CompiledModel(key_freshness())
 _KEY = "key1"
@@ -87,7 +87,7 @@
 
     def knows(self) -> bool:
         """Tell whether this entry refuses the withdrawn key."""
-        snapshot = self.exchange.holder.snapshot
+        snapshot = self.exchange.active_configuration.snapshot
         withdrawn = snapshot is not None and _KEY not in snapshot.keys_by_id
         return withdrawn or _KEY in self.exchange.list_unwritten_tombstones()
 
@@ -99,7 +99,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.walk = Walk(_MODEL, lists_c=True, lists_w=True, lists_d=True)
+        self.execution = ModelExecution(
+            _MODEL, lists_c=True, lists_w=True, lists_d=True
+        )
         self.before, self.after = _records()
         self.stored = self.before
         self.passed_ms = 0
@@ -113,7 +115,7 @@
         self.answers: dict[str, tuple[PeerState, Record | None]] = {}
         roster = [e.exchange.registration for e in self.entries.values()]
         for entry in self.entries.values():
-            entry.exchange.holder.adopt(self.stored)
+            entry.exchange.active_configuration.adopt(self.stored)
             entry.exchange.set_roster(roster, entry.start_ms)
         self._list_instances()
 
@@ -131,9 +133,9 @@
         """Return the model that this machine compares with."""
         return _MODEL
 
-    def options(self) -> dict[str, int]:
+    def list_step_weights(self) -> dict[str, int]:
         found = {"wait": 6, "deliver_old_record x": 1, "deliver_old_record d": 1}
-        for name in self.walk.enabled():
+        for name in self.execution.find_enabled_actions():
             if "answer" in name or "gets" in name:
                 found[f"take {name}"] = 9
             elif "has heard all" not in name:
@@ -150,16 +152,18 @@
 
     def deliver_old_record(self, i: str) -> None:
         """A watch that was answered before the withdrawal, and a slow peer."""
-        self.entries[i].exchange.holder.adopt(self.before)
+        self.entries[i].exchange.active_configuration.adopt(self.before)
         self._check()
 
-    def _walk(self, name: str) -> None:
-        self.walk.take(name, passed_s=fractions.Fraction(self.passed_ms, 1000))
+    def _advance_model(self, name: str) -> None:
+        self.execution.take_action(
+            name, passed_s=fractions.Fraction(self.passed_ms, 1000)
+        )
         self.passed_ms = 0
 
     def take(self, name: str) -> None:
         """Take a step of the model and do the same in the product."""
-        self._walk(name)
+        self._advance_model(name)
         for i in LEARNERS:
             if name == f"{i} sends a read to the store":
                 self.sent_ms[i] = self.entries[i].clock.now_ms()
@@ -172,7 +176,10 @@
                 self.sent_ms[i + j] = self.entries[i].clock.now_ms()
             elif name == f"{j} answers {i}":
                 exchange = self.entries[j].exchange
-                self.answers[i + j] = exchange.build_state(), exchange.holder.record
+                self.answers[i + j] = (
+                    exchange.build_state(),
+                    exchange.active_configuration.record,
+                )
             elif name == f"{i} gets the answer of {j}":
                 self._get_answer(i, j)
         self._withdraw(name)
@@ -181,18 +188,18 @@
     def _get_record(self, i: str) -> None:
         sent_ms, record = self.reads[i]
         exchange = self.entries[i].exchange
-        exchange.holder.adopt(record)
+        exchange.active_configuration.adopt(record)
         exchange.record_store_read(sent_ms)
 
     def _get_answer(self, i: str, j: str) -> None:
         state, record = self.answers[i + j]
         exchange, sent_ms = self.entries[i].exchange, self.sent_ms[i + j]
         if not exchange.merge_state(state, sent_ms):
-            exchange.holder.adopt(record)
+            exchange.active_configuration.adopt(record)
             assert exchange.merge_state(state, sent_ms)
         # The product counts the messages of all entries in each merge.
-        if f"{i} has heard all" in self.walk.enabled():
-            self._walk(f"{i} has heard all")
+        if f"{i} has heard all" in self.execution.find_enabled_actions():
+            self._advance_model(f"{i} has heard all")
 
     def _withdraw(self, name: str) -> None:
         w, c = self.entries["w"].exchange, self.entries["c"].exchange
@@ -211,11 +218,11 @@
                 self._list_instances()
 
     def _check(self) -> None:
-        values = self.walk.values
+        values = self.execution.values
         now_s = values["now_s"] + fractions.Fraction(self.passed_ms, 1000)
         late = values["accepted"] and now_s - values["accepted_s"] > BOUND_S
         for name, entry in self.entries.items():
-            version = entry.exchange.holder.version
+            version = entry.exchange.active_configuration.version
             assert version >= entry.version, f"{name} reverted to {version}"
             entry.version = version
             assert entry.knows() >= bool(values[f"knows_{name}"]), name
