--- a/src/cranberrywheel_load/soak.py
+++ b/src/cranberrywheel_load/soak.py
@@ -132,20 +132,22 @@
         self.nodes: list[ManagedProcess] = []
         self.front_addresses: list[str] = []
         for number in range(NODE_COUNT):
-            proxy_port, front_port, ready, peer, metrics = (
+            proxy_port, front_port, ready_port, peer_port, metrics_port = (
                 next(ports) for _ in range(5)
             )
-            store = (PLATFORM_HOST, proxy_port)
-            self.store_proxies.append(FaultProxy(store, (PLATFORM_HOST, store_port)))
+            store_address = (PLATFORM_HOST, proxy_port)
+            self.store_proxies.append(
+                FaultProxy(store_address, (PLATFORM_HOST, store_port))
+            )
             settings = {
                 "nodeName": f"n{number}",
                 "ip": PLATFORM_HOST,
                 "zone": f"z{number}",
                 "listenAddrs": {
                     "frontend": f"{PLATFORM_HOST}:{front_port}",
-                    "ready": f"{PLATFORM_HOST}:{ready}",
+                    "ready": f"{PLATFORM_HOST}:{ready_port}",
                 },
-                "internalPorts": [peer, peer],
+                "internalPorts": [peer_port, peer_port],
                 "platform": {"address": f"{PLATFORM_HOST}:{proxy_port}"},
                 "cloudApi": {"address": f"{PLATFORM_HOST}:{machines_port}"},
             }
@@ -153,7 +155,7 @@
             path.write_text(json.dumps(settings))
             environment = {
                 SETTINGS_VARIABLE: str(path),
-                "CRANBERRYWHEEL_METRICS_PORT": str(metrics),
+                "CRANBERRYWHEEL_METRICS_PORT": str(metrics_port),
             }
             self.nodes.append(
                 ManagedProcess(
