--- a/src/cranberrywheel_load/entry_group.py
+++ b/src/cranberrywheel_load/entry_group.py
@@ -28,7 +28,7 @@
 from cranberrywheel_standin.platform import Platform
 
 
-class SharingEntry:
+class SimulatedEntry:
     """Store session, peer exchange and quota ledger of one entry.
 
     A minimal dispatcher updates the ledger from messages and starts the requests
@@ -63,7 +63,7 @@
         #: Time in ms at which the worker lets the task lease of a request expire.
         self.lease_ends_by_request: dict[str, int] = {}
         self.waiting_by_team: dict[str, int] = {}
-        self._started = 0
+        self._started_count = 0
         #: A paused entry does no work; an isolated one exchanges with no peer.
         self.paused = self.isolated = False
         self.exchange = PeerExchange(
@@ -126,10 +126,10 @@
                 self.lease_ends_by_request[request_id] = end_ms
         for team, waiting in self.waiting_by_team.items():
             for _ in range(waiting):
-                request_id = f"{self.process_id}/{self._started}"
+                request_id = f"{self.process_id}/{self._started_count}"
                 if not self.ledger.acquire_unit(team, request_id, now_ms):
                     break
-                self._started += 1
+                self._started_count += 1
                 self.waiting_by_team[team] -= 1
                 self.lease_ends_by_request[request_id] = end_ms
 
@@ -183,14 +183,14 @@
         self.clock = ManualClock(1_000_000)
         self.platform = Platform(lambda: self.clock.now_ms() / 1000)
         self.entries = [
-            SharingEntry(self, number, zone, "a") for number, zone in enumerate(zones)
+            SimulatedEntry(self, number, zone, "a") for number, zone in enumerate(zones)
         ]
         #: Killed processes; workers run their tasks until the task leases expire.
-        self.killed: list[SharingEntry] = []
+        self.killed: list[SimulatedEntry] = []
 
     def replace_entry(
         self, index: int, start: str, number: int | None = None
-    ) -> SharingEntry:
+    ) -> SimulatedEntry:
         """Kill an entry's process and start a new one.
 
         :param index: position of the entry.
@@ -201,7 +201,7 @@
         old = self.entries[index]
         self.killed.append(old)
         number = index if number is None else number
-        self.entries[index] = SharingEntry(self, number, old.settings.zone, start)
+        self.entries[index] = SimulatedEntry(self, number, old.settings.zone, start)
         return self.entries[index]
 
     def run(
@@ -261,7 +261,9 @@
         )
 
 
-def exchange_once(caller: SharingEntry, peer: SharingEntry, delay_ms: int = 0) -> None:
+def exchange_once(
+    caller: SimulatedEntry, peer: SimulatedEntry, delay_ms: int = 0
+) -> None:
     """Exchange state between two entries, as one call by the first.
 
     A configuration version that the caller does not know is fetched from the peer.
--- a/src/cranberrywheel_load/policy_bench.py
+++ b/src/cranberrywheel_load/policy_bench.py
@@ -31,6 +31,7 @@
 from cranberrywheel_load.bench_schedulers import SCHEDULERS, Scheduler
 
 FIRST_SEED = 11
+#: Mean offered loads as multiples of the capacity.
 LOADS = (0.5, 1.0, 2.0, 5.0)
 #: The worker to which the fault applies.
 FAULTY_WORKER = "worker-0"
--- a/src/cranberrywheel_load/units.py
+++ b/src/cranberrywheel_load/units.py
@@ -17,7 +17,7 @@
 
 from cranberrywheel.settings import QuotaSettings
 from cranberrywheel.version.configuration import Configuration, parse_configuration
-from cranberrywheel_load.entry_group import EntryGroup, SharingEntry
+from cranberrywheel_load.entry_group import EntryGroup, SimulatedEntry
 
 ENTRY_COUNT = 7
 #: Delay between the starts of two entries. Their leases are then renewed at different
@@ -74,7 +74,7 @@
         self.group.run(STABILIZATION_MS, 1_000)
 
     def compute_usable_percent(
-        self, entries: collections.abc.Iterable[SharingEntry]
+        self, entries: collections.abc.Iterable[SimulatedEntry]
     ) -> PercentByTeam:
         """Return the units usable by the given entries in percent of each limit."""
         chosen = list(entries)
