--- a/src/cranberrywheel/node/caller_api.py
+++ b/src/cranberrywheel/node/caller_api.py
@@ -50,7 +50,11 @@
         """Read the state of a submission; ``None`` if it does not exist."""
 
     def cancel(self, submission_id: str, wait_ms: int) -> "Future[bool]":
-        """Cancel a submission; the result is false if it does not exist."""
+        """Cancel a submission; the result is false if it does not exist.
+
+        The future stays open if the cancellation cannot be stored within ``wait_ms``
+        milliseconds.
+        """
 
     def count_waiting(self, queue: Queue) -> "Future[int]":
         """Count the submissions of a queue without a started task."""
--- a/src/cranberrywheel/node/intake.py
+++ b/src/cranberrywheel/node/intake.py
@@ -95,6 +95,7 @@
         puts: list[tuple[str, bytes, int]] = []
         for item in pending:
             key = submission_key(item.submission.id)
+            # Revision 0 requires that the key is absent; lease 0 means no lease.
             conditions += [(key, 0), (key + FINAL_SUFFIX, 0)]
             puts.append((key, encode_submission(item.submission), 0))
 
--- a/src/cranberrywheel/node/leader.py
+++ b/src/cranberrywheel/node/leader.py
@@ -22,7 +22,7 @@
 from cranberrywheel.platform import executors as wire
 from cranberrywheel.platform.machines import MachineClient
 from cranberrywheel.platform.store import Item, Outcome, Store, StoreReply, Write
-from cranberrywheel.submission import actions as a
+from cranberrywheel.submission import actions
 from cranberrywheel.submission.executor import Executor
 from cranberrywheel.submission.executor_orders import (
     OrderVerdict,
@@ -62,7 +62,8 @@
 #: lead to one pass.
 MIN_PASS_INTERVAL_MS = 3
 #: Submissions in one write. Each takes a condition and a put, or a condition, a put and
-#: three deletions; with the condition on the leader a write holds at most 32 entries.
+#: three deletions. With the condition on the leader record, six submissions take at
+#: most 31 entries; the store accepts 32 in one write.
 SUBMISSIONS_PER_WRITE = 6
 #: Concurrent progress writes.
 MAX_CONCURRENT_WRITES = 3
@@ -118,7 +119,9 @@
         self._last_pass_ms = 0
         self._polling_ids: set[str] = set()
         self._start_count_by_executor: dict[str, int] = {}
-        self._start_queue_by_executor: dict[str, collections.deque[a.StartRun]] = {}
+        self._start_queue_by_executor: dict[
+            str, collections.deque[actions.StartRun]
+        ] = {}
         self._active_writes = 0
         self._ids_in_write: set[str] = set()
         self._recorded_executor_ids: set[str] = set()
@@ -259,7 +262,9 @@
         self.request_pass()
 
     def _store_executor(self, item: Item, executor_id: str) -> None:
-        put = (EXECUTOR_PREFIX + executor_id, item.value or b"", 0)
+        put = (EXECUTOR_PREFIX + executor_id, item.value or b"", 0)  # 0: no lease
+        # The fencing token is the revision of the leader record, so the write takes
+        # effect only while this leadership lasts.
         conditions = ((LEADER_KEY, self.scheduler.fence),)
 
         def on_reply(reply: StoreReply) -> None:
@@ -313,7 +318,7 @@
         elif suffix == FINAL_SUFFIX:
             scheduler.final_state_by_id[submission_id] = decode_final_state(value)
 
-    # Scheduling passes and orders
+    # Scheduling passes and orders, which are commands to executors
 
     def request_pass(self) -> None:
         """Schedule a pass; requests within a few milliseconds share one pass."""
@@ -354,8 +359,8 @@
         allowed = self._has_valid_lease() or may_continue
         self.scheduler.may_start = allowed and self._executors_loaded
 
-    def _execute(self, action: a.Action) -> None:
-        if isinstance(action, a.StartRun):
+    def _execute(self, action: actions.Action) -> None:
+        if isinstance(action, actions.StartRun):
             executor_id = action.run.executor_id
             queue = self._start_queue_by_executor.setdefault(
                 executor_id, collections.deque()
@@ -365,11 +370,11 @@
             executor = self.scheduler.executors_by_id.get(executor_id)
             if executor is not None:
                 self._poll_if_needed(executor)
-        elif isinstance(action, a.StopRun):
+        elif isinstance(action, actions.StopRun):
             self._send_stop(action)
-        elif isinstance(action, a.ThrottleRun):
+        elif isinstance(action, actions.ThrottleRun):
             self._send_throttle(action)
-        elif isinstance(action, a.DeleteExecutorRecord):
+        elif isinstance(action, actions.DeleteExecutorRecord):
             self._delete_executor_record(action.executor_id)
         else:
             self._request_advice(action)
@@ -391,7 +396,7 @@
                 continue
             self._send_start(executor, action)
 
-    def _send_start(self, executor: Executor, action: a.StartRun) -> None:
+    def _send_start(self, executor: Executor, action: actions.StartRun) -> None:
         run = action.run
         task = run.task
         now_ms = self._loop.clock.now_ms()
@@ -421,7 +426,7 @@
 
         self._client.start(executor.entry, order, on_reply)
 
-    def _send_stop(self, action: a.StopRun) -> None:
+    def _send_stop(self, action: actions.StopRun) -> None:
         executor = self.scheduler.executors_by_id.get(action.executor_id)
         if executor is None:
             return
@@ -436,7 +441,7 @@
             executor.entry, action.task, action.number, self.scheduler.fence, on_reply
         )
 
-    def _send_throttle(self, action: a.ThrottleRun) -> None:
+    def _send_throttle(self, action: actions.ThrottleRun) -> None:
         run = action.run
         executor = self.scheduler.executors_by_id.get(run.executor_id)
         if executor is None:
@@ -463,7 +468,7 @@
             on_reply,
         )
 
-    def _request_advice(self, action: a.RequestAdvice) -> None:
+    def _request_advice(self, action: actions.RequestAdvice) -> None:
         def on_reply(tickets: dict[str, str], valid_ms: int) -> None:
             now_ms = self._loop.clock.now_ms()
             self.scheduler.on_advice(action.step, tickets, valid_ms, now_ms)
--- a/src/cranberrywheel/node/leadership.py
+++ b/src/cranberrywheel/node/leadership.py
@@ -37,9 +37,9 @@
 #: Time for which a smaller machine leads before it hands over. It exceeds the lease of
 #: a member record, so that an unreachable larger machine is no longer registered.
 MIN_LEADERSHIP_MS = 6_000
-#: Factor by which that time grows with each such handover, so that they become rare
-#: when no larger machine acquires the leadership.
-YIELD_BACKOFF_FACTOR = 4
+#: Factor by which that time grows with each handover to a larger candidate, so that
+#: handovers become rare when no larger machine acquires the leadership.
+HANDOVER_BACKOFF_FACTOR = 4
 #: Longest acquisition delay for uptime, which adds 1 ms for each second of uptime.
 MAX_UPTIME_DELAY_MS = 100
 #: Interval between attempts to acquire the leadership.
@@ -92,8 +92,8 @@
     All methods run on the loop's thread.
 
     :param candidate: this process.
-    :param largest_rival_capacity: returns the largest capacity among the other
-        registered processes; 0 if there is none.
+    :param largest_candidate_capacity: returns the largest capacity among the other
+        candidates, which are the other registered processes; 0 if there is none.
     :param may_compete: returns whether this process can lead at all.
     :param on_acquired: called with the fencing token, the term, and the previous
         leadership's fencing token.
@@ -105,7 +105,7 @@
         loop: HttpLoop,
         store: Store,
         candidate: Candidate,
-        largest_rival_capacity: t.Callable[[], float],
+        largest_candidate_capacity: t.Callable[[], float],
         may_compete: t.Callable[[], bool],
         on_acquired: t.Callable[[int, int, int], None],
         on_lost: t.Callable[[], None],
@@ -113,7 +113,7 @@
         self._loop = loop
         self._store = store
         self._candidate = candidate
-        self._largest_rival_capacity = largest_rival_capacity
+        self._largest_candidate_capacity = largest_candidate_capacity
         self._may_compete = may_compete
         self._on_leadership_acquired = on_acquired
         self._on_leadership_lost = on_lost
@@ -147,9 +147,9 @@
         self._loop.after(ACQUIRE_RETRY_MS, self._on_retry_timer)
 
     @property
-    def should_yield(self) -> bool:
+    def should_hand_over(self) -> bool:
         """Whether this leader should hand over to a larger machine."""
-        if not self.has_valid_lease() or not self._has_larger_rival():
+        if not self.has_valid_lease() or not self._has_larger_candidate():
             return False
         return self._loop.clock.now_ms() - self._acquired_ms >= self._min_leadership_ms
 
@@ -163,8 +163,8 @@
         if not self.fence:
             return
         fence = self.fence
-        if self._has_larger_rival():
-            self._min_leadership_ms *= YIELD_BACKOFF_FACTOR
+        if self._has_larger_candidate():
+            self._min_leadership_ms *= HANDOVER_BACKOFF_FACTOR
         self._stop_leading(reason)
         write = Write(
             conditions=((LEADER_KEY, fence),),
@@ -214,13 +214,16 @@
         a rolling restart has already passed them.
         """
         uptime_ms = self._loop.clock.now_ms() - self._started_ms
+        # 1 ms of delay for each second of uptime.
         delay_ms = min(MAX_UPTIME_DELAY_MS, uptime_ms // 1_000)
         delay_ms += round((1.0 - self._candidate.capacity) * MAX_CAPACITY_DELAY_MS)
-        return delay_ms + (LARGER_CANDIDATE_DELAY_MS if self._has_larger_rival() else 0)
+        return delay_ms + (
+            LARGER_CANDIDATE_DELAY_MS if self._has_larger_candidate() else 0
+        )
 
-    def _has_larger_rival(self) -> bool:
+    def _has_larger_candidate(self) -> bool:
         return (
-            self._largest_rival_capacity()
+            self._largest_candidate_capacity()
             >= LARGER_CAPACITY_RATIO * self._candidate.capacity
         )
 
@@ -252,6 +255,8 @@
                 return
             item = reply.items[0] if reply.outcome is Outcome.OK else None
             term = int(item.value or b"0") + 1 if item else 0
+            # The term is written together with the leader record, so its revision is
+            # the fencing token of the previous leadership; 0 if there was none.
             revision = item.revision if item else 0
             record = {
                 "process": self._candidate.process,
--- a/src/cranberrywheel/node/maintenance.py
+++ b/src/cranberrywheel/node/maintenance.py
@@ -21,8 +21,8 @@
 )
 from cranberrywheel.submission.scheduler import Scheduler
 
-#: Interval between steps, which each read the list of machines.
-STEP_INTERVAL_MS = 400
+#: Interval between the controller's rounds, which each read the list of machines.
+ROUND_INTERVAL_MS = 400
 #: Delay before an order or a store call that got no answer is repeated.
 RETRY_MS = 700
 
@@ -73,7 +73,7 @@
                 self._recorded_done_by_key[key] = set(json.loads(item.value or b"[]"))
             self._wave_watch.start()
             self._pool_moves.start()
-            self._loop.after(STEP_INTERVAL_MS, self._on_timer)
+            self._loop.after(ROUND_INTERVAL_MS, self._on_timer)
 
         self._store.read_all(WAVE_PROGRESS_PREFIX, on_recorded)
 
@@ -104,7 +104,7 @@
     def _on_timer(self) -> None:
         if self._stopped:
             return
-        self._loop.after(STEP_INTERVAL_MS, self._on_timer)
+        self._loop.after(ROUND_INTERVAL_MS, self._on_timer)
         self._client.read_all(self._on_machines)
 
     def _on_machines(self, machines: list[Machine] | None) -> None:
--- a/src/cranberrywheel/node/node.py
+++ b/src/cranberrywheel/node/node.py
@@ -64,8 +64,8 @@
 MEMBER_RENEW_MS = 1_500
 #: Delay before a failed store or peer call is repeated.
 RETRY_MS = 250
-#: Interval between checks for a larger machine that should lead.
-YIELD_CHECK_INTERVAL_MS = 500
+#: Interval between checks for a larger candidate, to which this leader hands over.
+HANDOVER_CHECK_INTERVAL_MS = 500
 #: Time for which callers are still accepted after SIGTERM: the balancer takes two
 #: seconds to stop sending them.
 DRAIN_MS = 3_000
@@ -130,7 +130,7 @@
             self._loop,
             self._store,
             self._candidate,
-            self._largest_rival_capacity,
+            self._largest_candidate_capacity,
             self._may_compete,
             self._on_leadership_acquired,
             self._on_leadership_lost,
@@ -209,7 +209,9 @@
         self._leadership.start()
         self._store_route.start()
         self._register()
-        self._loop.after(YIELD_CHECK_INTERVAL_MS, self._yield_if_larger_rival)
+        self._loop.after(
+            HANDOVER_CHECK_INTERVAL_MS, self._hand_over_to_larger_candidate
+        )
 
     def _stop(self) -> None:
         self.stopping = True
@@ -231,10 +233,12 @@
             # Other candidates no longer give precedence to this process.
             self._store.end_lease(self._member_lease, lambda reply: None)
 
-    def _yield_if_larger_rival(self) -> None:
-        self._loop.after(YIELD_CHECK_INTERVAL_MS, self._yield_if_larger_rival)
+    def _hand_over_to_larger_candidate(self) -> None:
+        self._loop.after(
+            HANDOVER_CHECK_INTERVAL_MS, self._hand_over_to_larger_candidate
+        )
         leader = self._leader
-        if leader and leader.is_loaded and self._leadership.should_yield:
+        if leader and leader.is_loaded and self._leadership.should_hand_over:
             self._leadership.release(
                 leader.handover_record, "a larger machine can lead"
             )
@@ -336,7 +340,7 @@
     def _peer_addresses(self) -> list[str]:
         return [member.address for member in self._other_members()]
 
-    def _largest_rival_capacity(self) -> float:
+    def _largest_candidate_capacity(self) -> float:
         return max((member.capacity for member in self._other_members()), default=0.0)
 
     # Leader election
@@ -420,6 +424,7 @@
             self._store.read_all(key, on_items)
 
         def on_items(reply: StoreReply) -> None:
+            # After the deadline the future stays open, as in _cancel().
             if reply.outcome is Outcome.OK:
                 value_by_key = {item.key: item.value or b"" for item in reply.items}
                 future.set_result(_state_from_records(key, value_by_key))
@@ -451,7 +456,12 @@
         return True
 
     def cancel(self, submission_id: str, wait_ms: int) -> "Future[bool]":
-        """Cancel a submission; see ``Backend.cancel``."""
+        """Cancel a submission; see ``Backend.cancel``.
+
+        :returns: true once the cancellation is stored or the submission has ended;
+            false if the submission does not exist. The future stays open if neither
+            is known within ``wait_ms`` milliseconds.
+        """
         return self._run_on_loop(
             lambda future: self._cancel(
                 submission_id, self._clock.now_ms() + wait_ms, future
@@ -464,6 +474,8 @@
         key = submission_key(submission_id)
 
         def retry() -> None:
+            # After the deadline the future stays open: CallerApi stops waiting for it
+            # and tells the caller that the outcome is unknown.
             if self._clock.now_ms() + RETRY_MS < deadline_ms:
                 self._loop.after(
                     RETRY_MS, lambda: self._cancel(submission_id, deadline_ms, future)
@@ -480,7 +492,7 @@
                 future.set_result(False)
             else:
                 conditions = ((key, item_by_key[key].revision),)
-                put = (key + CANCEL_SUFFIX, b"{}", 0)
+                put = (key + CANCEL_SUFFIX, b"{}", 0)  # 0: no lease
                 self._store.write(Write(conditions, (put,)), on_written)
 
         def on_written(reply: StoreReply) -> None:
--- a/src/cranberrywheel/node/pool_moves.py
+++ b/src/cranberrywheel/node/pool_moves.py
@@ -111,6 +111,7 @@
         if executor is None:
             return
         executor.cordoned = True
+        # A pool serves the service of the same name.
         pool = [
             other
             for other in self._scheduler.executors_by_id.values()
@@ -153,7 +154,7 @@
         self._stored_home_count = len(home_by_machine)
         write = Write(
             ((LEADER_KEY, self._scheduler.fence),),
-            ((HOME_POOLS_KEY, json.dumps(home_by_machine).encode(), 0),),
+            ((HOME_POOLS_KEY, json.dumps(home_by_machine).encode(), 0),),  # 0: no lease
         )
 
         def on_reply(reply: StoreReply) -> None:
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -81,13 +81,13 @@
     election.can_lead[1] = False
     election.loop.run_for(3_000)
     small, large = election.candidates
-    assert small.is_leader and not small.should_yield
+    assert small.is_leader and not small.should_hand_over
     election.can_lead[1] = True
     election.loop.run_for(MIN_LEADERSHIP_MS)
-    assert small.should_yield
+    assert small.should_hand_over
     small.release(lambda: b"{}", "a larger machine can lead")
     election.loop.run_for(300)
-    assert election.leading_indexes() == [1] and not large.should_yield
+    assert election.leading_indexes() == [1] and not large.should_hand_over
 
 
 def test_handover_is_repeated_less_often_when_no_larger_machine_leads():
@@ -98,11 +98,14 @@
     election.loop.run_for(3_000 + MIN_LEADERSHIP_MS)
     election.candidates[0].release(lambda: b"{}", "a larger machine can lead")
     election.loop.run_for(3_000 + MIN_LEADERSHIP_MS)
-    assert election.leading_indexes() == [0] and not election.candidates[0].should_yield
+    assert (
+        election.leading_indexes() == [0]
+        and not election.candidates[0].should_hand_over
+    )
 
 
 def test_machines_of_equal_size_lead_without_delay():
-    """Guards against an acquisition delay for machines without a larger rival."""
+    """Guards against an acquisition delay for machines without a larger candidate."""
     election = Election(SMALL, SMALL)
     election.loop.run_for(1_500)
     assert len(election.leading_indexes()) == 1
