--- a/src/cranberrywheel/platform/store.py
+++ b/src/cranberrywheel/platform/store.py
@@ -243,7 +243,9 @@
     def write(self, write: Write, done: ReplyCallback) -> None:
         """Write atomically; a ``CONFLICT`` reply holds the items of the conditions."""
         body = {
-            "precondition": [{"key": k, "revision": r} for k, r in write.conditions],
+            "precondition": [
+                {"key": key, "revision": revision} for key, revision in write.conditions
+            ],
             "puts": [
                 {
                     "key": key,
