--- a/src/cranberrywheel_spec/__init__.py
+++ b/src/cranberrywheel_spec/__init__.py
@@ -1,1 +1,1 @@
-"""Small specification of the core protocol, its checks and the history checker."""
+"""Formal models of the core protocols, their checks and the history checker."""
--- a/src/cranberrywheel_spec/check.py
+++ b/src/cranberrywheel_spec/check.py
@@ -1,9 +1,9 @@
-"""Runs the model checks and prints what each one covers.
+"""Runs the model checks and prints the extent of each one.
 
 ``python -m cranberrywheel_spec.check`` checks every model with all guards, then once
 without each guard. ``--deeper N`` adds steps to the first check; ``--traces`` prints
-the shortest violation that each missing guard allows. The exit code is 0 if every
-property holds and every missing guard is found, else 1.
+the shortest violation for each dropped guard. The exit code is 0 if every
+property holds and every dropped guard leads to a violation, else 1.
 """
 
 import argparse
@@ -46,7 +46,7 @@
 
 
 def describe_size(model: Model) -> str:
-    """Describe the size of a model: variables and actions."""
+    """Describe the size of a model: its numbers of variables and actions."""
     sorts = model.sorts | model.inputs
     state = State(**{name: z3.Const(name, sort) for name, sort in sorts.items()})
     actions = model.actions(state, lambda _, condition: condition)
@@ -56,7 +56,7 @@
 
 
 def find_violation_without_guard(model: Model, guard: str) -> CheckResult:
-    """Check a model without one guard, for the property that depends on it."""
+    """Check a model without one guard for the property that depends on the guard."""
     name = model.guards[guard]
     single_property_model = dataclasses.replace(
         model, properties=lambda s: {name: model.properties(s)[name]}
@@ -68,8 +68,8 @@
     """Check one model and print the results.
 
     :param deeper: steps beyond the depth of the model.
-    :param traces: whether to print the violations that missing guards allow.
-    :returns: whether everything is as expected.
+    :param traces: whether to print the violations that dropped guards lead to.
+    :returns: whether every property holds and every dropped guard gives a violation.
     """
     print(f"{model.name}: {describe_size(model)}")
     result = find_violation(model, depth=model.depth + deeper)
@@ -99,8 +99,8 @@
 def main(arguments: t.Sequence[str] | None = None) -> int:
     """Check all models.
 
-    :param arguments: of the command line.
-    :returns: exit code.
+    :param arguments: command-line arguments; ``None`` reads ``sys.argv``.
+    :returns: the exit code.
     """
     parser = argparse.ArgumentParser(prog="python -m cranberrywheel_spec.check")
     parser.add_argument("--deeper", type=int, default=0, metavar="N")
--- a/src/cranberrywheel_spec/compare.py
+++ b/src/cranberrywheel_spec/compare.py
@@ -1,8 +1,8 @@
-"""Runs the comparisons of the product's code with the models.
+"""Runs the conformance checks of the product's code against the models.
 
-``python -m cranberrywheel_spec.compare --examples N`` runs each machine N times with
-fixed seeds and prints how many steps it took and which actions of the model it never
-took. The exit code is 0, or 1 if the code differs from a model.
+``python -m cranberrywheel_spec.compare --examples N`` runs each state machine N times
+with fixed seeds and prints the number of steps and the actions of the model that were
+never taken. The exit code is 0, or 1 if the code differs from a model.
 """
 
 import argparse
@@ -22,12 +22,12 @@
 
 
 class LongUnitTimesMachine(UnitTimesMachine):
-    """The comparison for long units."""
+    """Compares units on a long lease."""
 
     unit_kind = LONG
 
 
-#: Each machine with the examples that the tests run.
+#: Number of runs of each state machine in the tests.
 EXAMPLES_BY_MACHINE: dict[type[RuleBasedStateMachine], int] = {
     TicketMachine: 60,
     UnitTransfersMachine: 60,
@@ -42,7 +42,7 @@
 class Comparison:
     """Extent of one comparison.
 
-    :param steps: steps taken in all runs.
+    :param steps: number of model steps taken in all runs.
     :param untaken: actions of the model that no run took.
     """
 
@@ -51,7 +51,10 @@
 
 
 def build_run_settings(examples: int) -> hypothesis.settings:
-    """Return settings with fixed seeds."""
+    """Build hypothesis settings with fixed seeds.
+
+    :param examples: number of runs.
+    """
     return hypothesis.settings(
         max_examples=examples,
         stateful_step_count=30,
@@ -64,10 +67,11 @@
 
 
 def compare(machine: type[RuleBasedStateMachine], examples: int) -> Comparison:
-    """Run a machine.
+    """Run a state machine and compare the product with the model.
 
     :param machine: drives the product and the model.
     :param examples: number of runs.
+    :returns: steps taken and actions never taken.
     :raises AssertionError: if the product differs from the model.
     """
     model = machine.model()
@@ -83,8 +87,8 @@
 def main(arguments: t.Sequence[str] | None = None) -> int:
     """Run all comparisons.
 
-    :param arguments: of the command line.
-    :returns: exit code.
+    :param arguments: command-line arguments; ``None`` reads ``sys.argv``.
+    :returns: the exit code.
     """
     parser = argparse.ArgumentParser(prog="python -m cranberrywheel_spec.compare")
     parser.add_argument("--examples", type=int, metavar="N")
--- a/src/cranberrywheel_spec/freshness_conformance.py
+++ b/src/cranberrywheel_spec/freshness_conformance.py
@@ -1,4 +1,4 @@
-"""Compares versions, marks and proofs in the product with the key freshness model."""
+"""Compares versions, tombstones and freshness proofs with the key freshness model."""
 
 import fractions
 import typing as t
@@ -48,7 +48,7 @@
 
 
 def _records() -> tuple[Record, Record]:
-    """Return the configuration before and after the withdrawal."""
+    """Return the configuration record before and after the key is revoked."""
     granted = {_KEY: KeyEntry(_KEY, "t", "0" * 64)}
     first = prepare_write(
         CONFIGURATION_KEY, None, "w", build_configuration_body(_TEXT, 1, granted, [])
@@ -72,7 +72,7 @@
             operator_token_file="unused",
             platform=PlatformSettings(url="http://127.0.0.1:1"),
         )
-        # Clocks of two machines are unrelated.
+        # Steady clocks of two instances have unrelated origins.
         self.start_ms = 1_000_000 * number
         self.clock = ManualClock(self.start_ms)
         self.tracker = FreshnessTracker()
@@ -86,14 +86,14 @@
             self.proof_ms = message.proven_ms - self.start_ms
 
     def knows(self) -> bool:
-        """Tell whether this entry refuses the withdrawn key."""
+        """Return whether this entry refuses the revoked key."""
         snapshot = self.exchange.holder.snapshot
         withdrawn = snapshot is not None and _KEY not in snapshot.keys_by_id
         return withdrawn or _KEY in self.exchange.list_unwritten_tombstones()
 
 
 class FreshnessMachine(ConformanceMachine):
-    """Real exchanges, holders and trackers must not claim more than the model."""
+    """Requires that the product claims no more freshness than the model allows."""
 
     make_exchange: t.ClassVar[type[PeerExchange]] = PeerExchange
 
@@ -143,7 +143,7 @@
         return found
 
     def wait(self) -> None:
-        """Let time pass."""
+        """Advance all clocks."""
         passed_ms = self.rng.choice(_PASSED_MS)
         self.passed_ms += passed_ms
         for entry in self.entries.values():
@@ -151,7 +151,7 @@
         self._check()
 
     def deliver_old_record(self, i: str) -> None:
-        """A watch that was answered before the withdrawal, and a slow peer."""
+        """Deliver the old record late, as by a delayed watch or a slow peer."""
         self.entries[i].exchange.holder.adopt(self.before)
         self._check()
 
@@ -162,7 +162,7 @@
         self.passed_ms = 0
 
     def take(self, name: str) -> None:
-        """Take a step of the model and do the same in the product."""
+        """Take a step of the model and apply it to the product."""
         self._advance_model(name)
         for i in LEARNERS:
             if name == f"{i} sends a read to the store":
@@ -194,7 +194,7 @@
         if not exchange.merge_state(state, sent_ms):
             exchange.holder.adopt(record)
             assert exchange.merge_state(state, sent_ms)
-        # The product counts the messages of all entries in each merge.
+        # Each merge in the product also evaluates the proof from all entries' reports.
         if f"{i} has heard all" in self.execution.find_enabled_actions():
             self._advance_model(f"{i} has heard all")
 
--- a/src/cranberrywheel_spec/history.py
+++ b/src/cranberrywheel_spec/history.py
@@ -1,4 +1,4 @@
-"""Checker of histories of concurrent runs.
+"""Checks recorded histories of concurrent runs against the protocol's rules.
 
 ``python -m cranberrywheel_spec.history FILE...`` prints one line for each rule: ``ok``,
 ``FAIL`` or ``unexercised``. The exit code is 0, or 1 if a rule is violated, or 2 for
@@ -35,8 +35,8 @@
     """Result of one rule.
 
     :param rule: name of the rule.
-    :param checked: number of events that the rule applied to.
-    :param violations: one sentence each.
+    :param checked: number of events that the rule applies to.
+    :param violations: description of each violation.
     """
 
     rule: str
@@ -44,7 +44,7 @@
     violations: list[str]
 
     def format_line(self) -> str:
-        """Return the verdict as one line."""
+        """Format the verdict as one line of text."""
         word = "FAIL" if self.violations else "ok" if self.checked else "unexercised"
         text = f"{word} {self.rule} checked={self.checked}"
         if self.violations:
@@ -53,7 +53,7 @@
 
 
 Findings = t.Iterator[str | None]
-"""One item for each checked event: a violation or ``None``."""
+"""One item per checked event: the description of a violation, or ``None``."""
 
 
 def _check_at_most_once(history: History) -> Findings:
@@ -76,7 +76,7 @@
         ]
         violation = None
         for start in history.starts_by_work_id.get(work_id, []):
-            # A later start is legitimate only for another open call with the ticket.
+            # A later start is allowed only for another open call with the same ticket.
             open_call = any(
                 a.at_ms <= start.at_ms <= answered_ms.get(a.request, float("inf"))
                 for a in others
--- a/src/cranberrywheel_spec/history_events.py
+++ b/src/cranberrywheel_spec/history_events.py
@@ -40,7 +40,7 @@
 ``returned``     platform, when the list shows it live again: ``worker``
 ===============  ==================================================================
 
-A last line without a newline is a write that a kill cut off, and is skipped.
+A last line without a newline was truncated when its writer was killed; it is skipped.
 """
 
 import collections
@@ -171,17 +171,17 @@
     pydantic.Field(discriminator="event"),
 ]
 _ADAPTER: pydantic.TypeAdapter[t.Any] = pydantic.TypeAdapter(AnyEvent)
-_EventType = t.TypeVar("_E", bound=Event)
+_EventType = t.TypeVar("_EventType", bound=Event)
 
 
 class HistoryError(Exception):
-    """A line of a history file does not follow the format."""
+    """A line of a history file is malformed."""
 
 
 def parse_lines(lines: t.Iterable[str], name: str = "history") -> list[t.Any]:
     """Read events from JSON lines.
 
-    :param lines: lines with their newlines; a last one without is skipped.
+    :param lines: lines with their newlines; a last line without a newline is skipped.
     :param name: file name for error messages.
     :returns: the events in the order of the lines.
     :raises HistoryError: with file and line number if a line is malformed.
@@ -226,10 +226,10 @@
         self.ends_by_task = {e.task: e for e in self.select(TaskEnd)}
 
     def select(self, kind: type[_EventType]) -> list[_EventType]:
-        """Return the events of one class, in time order."""
+        """Return the events of one class in time order."""
         return [event for event in self.events if isinstance(event, kind)]
 
     def get_work_id(self, request: str) -> str:
-        """Return what a request asks for: its ticket, or itself without one."""
+        """Return the id of the requested work: the ticket, or else the request."""
         invoke = self.invokes_by_request.get(request)
         return invoke.ticket if invoke and invoke.ticket else request
--- a/src/cranberrywheel_spec/key_freshness.py
+++ b/src/cranberrywheel_spec/key_freshness.py
@@ -1,10 +1,11 @@
-"""Specification of one key withdrawal and the three proofs of key freshness.
+"""Model of the revocation of one key and of the three proofs of key freshness.
 
-Four entries: the withdrawal arrives at ``w``, ``c`` confirms it, ``x`` and ``d`` learn
-of it from the store or from the others. The proofs of ``c`` and ``w`` are left out: an
-answer of an entry that knows of the withdrawal carries that knowledge. Any call can be
-slow or never answered, which covers outages and partitions. Times are true time in
-seconds; messages carry ages, so clocks of two machines are never compared.
+The model has four entries: the revocation arrives at ``w``, ``c`` confirms it, ``x``
+and ``d`` learn of it from the store or from the other entries. The proofs of ``c`` and
+``w`` are omitted, since an answer of an entry that knows of the revocation includes
+it. Any call can be slow or never answered, which covers outages and partitions. Times
+are true time in seconds; messages carry ages, so clocks of two instances are never
+compared.
 """
 
 import typing as t
@@ -16,7 +17,7 @@
 LEARNERS, INFORMED = ("x", "d"), ("c", "w")
 ENTRIES = (*LEARNERS, *INFORMED)
 BOUND_S = 5
-#: ``("i", "j")``: i asks j.
+#: Pairs of an entry and the peer that it calls.
 PAIRS = tuple((entry, peer) for entry in LEARNERS for peer in ENTRIES if entry != peer)
 
 _TIMES = (
@@ -28,7 +29,7 @@
         for entry, peer in PAIRS
         for name in ("heard_s", "sent_s")
     ),
-    # In an answer of another learner: ages of its proof and of what it heard.
+    # In an answer of another learner: ages of its proof and of its peer reports.
     *(
         f"{name}_{entry}"
         for entry in LEARNERS
@@ -71,7 +72,7 @@
 
 
 def _read_actions(s: State, entry: str, guard: Guard) -> list[Action]:
-    """Proof 1: the entry's own read of the store."""
+    """Build the actions of proof 1: the entry's own read of the store."""
     counts_from_answer = guard("read age counts from before the read", NEVER)
     sent_s = z3.If(counts_from_answer, s.now_s, _get(s, "read_sent_s", entry))
     return [
@@ -105,7 +106,7 @@
 
 
 def _call_actions(s: State, entry: str, peer: str, guard: Guard) -> list[Action]:
-    """Exchange of i with j; j can be an entry that is gone only before it is."""
+    """Build the exchange of an entry with a peer that answers until it is gone."""
     counts_from_answer = guard("message age counts from before the call", NEVER)
     sent_s = z3.If(counts_from_answer, s.now_s, _get(s, "sent_s", entry, peer))
     knows_after_merge = z3.Or(
@@ -167,7 +168,7 @@
 
 
 def _all_entries_heard_action(s: State, entry: str, guard: Guard) -> Action:
-    """Proof 3: the oldest message of all registered entries that are not gone."""
+    """Build proof 3: the oldest report of all registered entries that are not gone."""
     (other,) = set(LEARNERS) - {entry}
     skips_unheard = guard("every registered entry is heard", NEVER)
     skips_unlisted = guard("roster lists every registered entry", NEVER)
@@ -182,7 +183,7 @@
                 is_counted, z3.Or(_get(s, "lists", peer), z3.Not(skips_unlisted))
             )
         any_counts = z3.Or(any_counts, is_counted)
-        # Without the guard, the message of the other learner is enough.
+        # Without the guard, the report of the other learner is sufficient.
         is_counted = z3.And(
             is_counted, z3.Or(z3.Not(skips_unheard), z3.BoolVal(peer == other))
         )
@@ -204,7 +205,7 @@
     is_running = z3.Not(s.gone_w)
     actions = [
         Action("w marks the key", is_running, {"knows_w": True}),
-        # Also possible in two steps; one step keeps traces short.
+        # The two steps are also possible separately; one step keeps traces short.
         Action("w marks and stores", is_running, {"knows_w": True, "stored": True}),
         Action(
             "c confirms the mark",
@@ -271,8 +272,8 @@
 def key_freshness() -> Model:
     """Build the model.
 
-    :returns: the model; its property says that ``x`` accepts no withdrawn key once the
-        bound has passed since the withdrawal was reported as accepted.
+    :returns: the model; its property is that ``x`` accepts no revoked key once
+        ``BOUND_S`` has passed since the revocation was reported as accepted.
     """
     names = (
         "read age counts from before the read",
--- a/src/cranberrywheel_spec/model_checking.py
+++ b/src/cranberrywheel_spec/model_checking.py
@@ -12,9 +12,10 @@
 import z3
 
 State = types.SimpleNamespace
-#: ``guard(name, condition)`` is the condition, or true if the guard is dropped.
+#: ``guard(name, condition)`` returns the condition, or true if the guard is dropped.
 Guard = t.Callable[[str, t.Any], t.Any]
-#: ``guard(name, NEVER)`` is true only if the guard is dropped.
+#: ``guard(name, NEVER)`` is true only if the guard is dropped: it enables the faulty
+#: behaviour that the guard excludes.
 NEVER = z3.BoolVal(False)
 
 
@@ -23,8 +24,8 @@
     """One transition.
 
     :param name: shown in traces.
-    :param condition: when it may happen.
-    :param updates: new values by variable name; other variables keep theirs.
+    :param condition: z3 expression that enables the transition.
+    :param updates: new values by variable name; other variables are unchanged.
     """
 
     name: str
@@ -39,8 +40,9 @@
     :param name: used by the command line and the reports.
     :param sorts: z3 sorts of the state variables, by name.
     :param inputs: z3 sorts of values chosen freely at each step, by name.
-    :param start: constraints on the first state.
-    :param actions: actions from a state (inputs included) under a guard function.
+    :param start: constraints on the initial state.
+    :param actions: returns the actions from a state (inputs included), given a guard
+        function.
     :param properties: conditions that hold in each state, by name.
     :param guards: name of each guard that can be dropped and the property that then
         fails.
@@ -131,7 +133,7 @@
     :param dropped: a guard to leave out; ``""`` keeps all.
     :param depth: number of steps to cover; 0 means the depth of the model.
     :returns: the first violation, or none within the depth.
-    :raises RuntimeError: if z3 gives up on a query.
+    :raises RuntimeError: if z3 cannot decide a query.
     """
 
     guard = _make_guard(model, dropped)
@@ -147,7 +149,9 @@
                 steps = _format_trace(model, solver.model(), names, step)
                 return CheckResult(name, tuple(steps), step)
             if answer == z3.unknown:
-                raise RuntimeError(f"z3 gave up: {solver.reason_unknown()}")
+                raise RuntimeError(
+                    f"z3 could not decide {name!r}: {solver.reason_unknown()}"
+                )
         next_state = _make_state(model, step + 1)
         choice = z3.Int(f"choice@{step}")
         constraints, actions = _build_transition(
@@ -162,12 +166,12 @@
 def find_unproved_claims(model: Model, dropped: str = "") -> list[str]:
     """Check that the invariant of a model is inductive and implies its properties.
 
-    Success covers traces of any length.
+    A successful proof covers traces of any length.
 
     :param model: a model with an invariant.
     :param dropped: a guard to leave out; ``""`` keeps all.
-    :returns: what fails: ``start``, the name of a property, or the name of an action
-        that breaks the invariant; empty if the proof succeeds.
+    :returns: names of the failed claims: ``start``, a property, or an action that
+        breaks the invariant; empty if the proof succeeds.
     """
     state, next_state = _make_state(model, 0), _make_state(model, 1)
     invariant = z3.And(*model.invariant(state))
--- a/src/cranberrywheel_spec/model_execution.py
+++ b/src/cranberrywheel_spec/model_execution.py
@@ -1,4 +1,4 @@
-"""Steps of a model on concrete values, to compare the product's code with it."""
+"""Executes a model on concrete values, to compare the product's code with it."""
 
 import collections
 import fractions
@@ -11,7 +11,7 @@
 from cranberrywheel_spec.model_checking import Action, Model, State
 
 Value = bool | int | fractions.Fraction
-#: Values by name; evaluation adds partial results that it may need again.
+#: Values by name; evaluation also caches results of subexpressions here.
 Values = dict[str, Value]
 Evaluator = t.Callable[[Values], Value]
 
@@ -39,7 +39,7 @@
 
 
 def _compile(expression: t.Any) -> Evaluator:
-    """Translate a z3 expression; evaluation by z3 itself takes milliseconds."""
+    """Translate a z3 expression to a function; evaluation by z3 takes milliseconds."""
     if not z3.is_expr(expression):
         return lambda values: expression
     if z3.is_int_value(expression):
@@ -71,13 +71,13 @@
             )
         return values[memo_key]
 
-    # z3 reuses the id of an expression that is not referenced any more.
+    # Keeps the expression alive: z3 reuses the id of an unreferenced expression.
     evaluate.expression = expression
     return evaluate
 
 
 class CompiledModel:
-    """A model without dropped guards, ready for many walks."""
+    """A model with all guards, compiled for repeated executions."""
 
     def __init__(self, model: Model) -> None:
         sorts = model.sorts | model.inputs
@@ -90,26 +90,26 @@
             for a in model.actions(state, lambda _, condition: condition)
         ]
         self.properties = _compile_all(model.properties(state))
-        #: How often each action was taken, over all walks.
+        #: Number of times that each action was taken, over all executions.
         self.taken_count_by_action: collections.Counter[str] = collections.Counter()
         self.start = [_compile(condition) for condition in model.start(state)]
 
 
 class ModelExecution:
-    """One trace through a model.
+    """One execution of a model.
 
     :param model: the compiled model.
-    :param start: first values; the others are false or 0.
+    :param start: initial values; absent variables are false or 0.
     """
 
     def __init__(self, model: CompiledModel, **start: Value) -> None:
         self._model = model
         self.values: Values = model.zeros | start
         if not all(is_satisfied(dict(self.values)) for is_satisfied in model.start):
-            raise ValueError(f"not a first state of {model.name}: {start}")
+            raise ValueError(f"not an initial state of model {model.name!r}: {start}")
 
     def find_enabled_actions(self, **inputs: Value) -> set[str]:
-        """Return the names of the actions that are possible now.
+        """Return the names of the actions that are enabled in the current state.
 
         :param inputs: values of the model's inputs; absent ones are 0.
         """
@@ -117,12 +117,13 @@
         return {a.name for a in self._model.actions if a.condition(values)}
 
     def take_action(self, name: str, **inputs: Value) -> None:
-        """Take an action.
+        """Take an action and check the properties of the model after it.
 
-        :param name: of an action that is possible now.
+        :param name: name of an enabled action.
         :param inputs: values of the model's inputs; absent ones are 0.
-        :raises AssertionError: if the action is not possible now, or if a property
-            fails after it.
+        :raises AssertionError: if the action is not enabled or a property fails after
+            it.
+        :raises KeyError: if the model has no action of this name.
         """
         values = self.values | self._model.inputs | inputs
         candidates = [a for a in self._model.actions if a.name == name]
--- a/src/cranberrywheel_spec/pool_conformance.py
+++ b/src/cranberrywheel_spec/pool_conformance.py
@@ -1,4 +1,4 @@
-"""Compares pool records, moves and disruptions in the product with the pool model."""
+"""Compares pool records, pool moves and disruptions with the pool moves model."""
 
 import typing as t
 
@@ -50,7 +50,7 @@
 
 
 class _Client:
-    """Store and platform calls; ``lost`` platform calls get no answer."""
+    """Client of the store and the platform; while ``lost``, platform calls time out."""
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
@@ -79,13 +79,13 @@
 
 
 class _Lease:
-    """A lease whose holder may be paused after any check."""
+    """A lease that is always valid; its holder can be paused after any check."""
 
     def __init__(self, fence: int) -> None:
         self.fence = fence
 
     def require_valid(self) -> None:
-        """Pass: the model decides when a check succeeds."""
+        """Succeed: the model decides when the lease is valid."""
 
 
 class _Planner:
@@ -102,7 +102,7 @@
 
 
 class PoolMachine(ConformanceMachine):
-    """Two planners of one zone and one of another; the model must allow each step."""
+    """Runs two planners of a zone and one of another; the model allows each step."""
 
     make_zone: t.ClassVar[type[ZoneRecord]] = ZoneRecord
     make_client: t.ClassVar[type[_Client]] = _Client
@@ -124,7 +124,7 @@
 
     def list_step_weights(self) -> dict[str, int]:
         found = {"start_task": 1, "end_task": 3, "other_planner": 1}
-        # Planner 2 takes over once planner 1 had the time for some steps.
+        # The low weight delays the takeover, so that planner 1 can take some steps.
         found["claim 1"] = 5
         found["claim 2"] = 1
         weights = {"confirm": 3, "drain": 3, "recall": 1, "advance_own": 4}
@@ -159,7 +159,7 @@
             self._check()
 
     def confirm(self, p: str) -> None:
-        """A call that the platform refuses must be one that the model refuses."""
+        """Repeat the platform call; it may be refused only if the model refuses it."""
         name = f"platform carries out the call of planner {p}"
         zone = self.planners[p].zone
         if (
@@ -194,7 +194,7 @@
                 self._write(p, instance_lifecycle.recall(planner.row, 0))
 
     def advance_own(self, p: str) -> None:
-        """Ask the worker, then write the next state."""
+        """Poll the worker, then write the next state."""
         planner, values = self.planners[p], self.execution.values
         if not values[f"leads_{p}"] or planner.zone.confirmation_age_ms(_OWN) is None:
             return
@@ -215,10 +215,10 @@
             self._write(p, row)
 
     def _write(self, p: str, row: InstanceAssignment) -> None:
-        """Write a row; the platform call that follows is lost."""
+        """Write an assignment; the platform call that follows is lost."""
         if not self.execution.values[f"in_force_{p}"]:
             return
-        # A report counts only for the state in which it was asked for.
+        # A report is valid only for the state in which it was requested.
         self.planners[p].empty_row = None
         name = f"planner {p} writes {row.state}"
         allowed = self._can(name)
@@ -234,7 +234,7 @@
             self.client.lost = False
         self.execution.take_action(name)
         if row.state is InstanceState.EMPTY:
-            # The drain of the state before still holds.
+            # The instance is still drained from the previous state.
             self.planners[p].zone.apply_unconfirmed()
         self._check()
 
@@ -281,7 +281,7 @@
             self.execution.take_action("task ends")
 
     def other_planner(self) -> None:
-        """The planner of the other zone acts at once, within the budget."""
+        """List or remove the instance of the other zone within the budget."""
         listed = {name for names in self.other.read().values() for name in names}
         if _OTHER in listed:
             self.other.change(_CONFIGURATION, {}, [_OTHER])
--- a/src/cranberrywheel_spec/pool_moves.py
+++ b/src/cranberrywheel_spec/pool_moves.py
@@ -1,9 +1,9 @@
-"""Specification of maintenance and moves of one instance under two planners.
+"""Model of maintenance and pool moves of one instance under two planners.
 
-Planner 1 holds the zone's lease first and planner 2 after it; a paused planner 1 goes
-on at any later time. The instance shares the budget of one service with an instance of
-another zone, so at most one of the two may be out. Platform calls can be delayed or
-lost.
+Planner 1 holds the zone's lease first, planner 2 after it; a paused planner 1 can
+resume at any later time. The instance shares the budget of one service with an
+instance of another zone, so at most one of the two may be drained at a time. Platform
+calls can be delayed or lost.
 """
 
 import typing as t
@@ -16,8 +16,8 @@
 SERVING, DRAINING, EMPTY, REBOOTING = range(4)
 NO_CALL, DRAIN, UNDRAIN, REBOOT = range(4)
 
-# ``listed`` and ``other_listed`` are the record ``disruptions``; ``disturbed`` notes a
-# pool change or reboot while a task ran.
+# ``listed`` and ``other_listed`` are the record ``disruptions``; ``disturbed`` is set
+# by a pool change or reboot while a task runs.
 _FLAGS = (
     "listed", "other_listed", "drained", "other_drained", "running", "disturbed",
     *(
@@ -52,7 +52,7 @@
 
 
 def _leadership_actions(s: State, planner: str, guard: Guard) -> list[Action]:
-    """A new planner writes its fence, then repeats the recorded state."""
+    """Build the takeover: write the fence, then repeat the call for the state."""
     own_fence = int(planner)
     may_hold_lease = (
         z3.Not(_get(s, "leads", "2")) if planner == "1" else z3.BoolVal(True)
@@ -115,7 +115,7 @@
 def _record_write_action(
     s: State, planner: str, guard: Guard, state: int, condition: t.Any
 ) -> Action:
-    """Write the next state by compare-and-swap; the platform call follows it."""
+    """Build a compare-and-swap of the state, which the platform call follows."""
     revision_matches = _get(s, "view_revision", planner) == s.revision
     call_by_state = {
         SERVING: UNDRAIN,
@@ -279,7 +279,7 @@
 
 
 def _environment_actions(s: State, guard: Guard) -> list[Action]:
-    """Entries start tasks; the planner of the other zone drains its instance."""
+    """Build the actions of the entries and of the planner of the other zone."""
     return [
         Action("entry starts a task", z3.Not(s.drained), {"running": True}),
         Action("task ends", s.running, {"running": False}),
@@ -327,7 +327,7 @@
 def pool_moves() -> Model:
     """Build the model.
 
-    :returns: the model; its properties say that no task runs at a pool change or
+    :returns: the model; its properties are that no task runs during a pool change or
         reboot, and that instances of two zones are never drained beyond the budget.
     """
     no_disturbance, within_budget = (
--- a/src/cranberrywheel_spec/ticket_conformance.py
+++ b/src/cranberrywheel_spec/ticket_conformance.py
@@ -1,4 +1,4 @@
-"""Compares ``TicketRegistry`` with the ticket model, step by step."""
+"""Compares ``TicketRegistry`` with the ticket model."""
 
 import typing as t
 
@@ -37,10 +37,10 @@
 
 
 class TicketMachine(ConformanceMachine):
-    """One ticket: each call of the book must answer as the model allows."""
+    """Uses one ticket; the model must allow each answer of the registry."""
 
     make_registry: t.ClassVar[type[TicketRegistry]] = TicketRegistry
-    #: Whether to hand over after the retention of the ticket has passed.
+    #: Whether a handover may follow the end of the ticket's retention.
     late_handover: t.ClassVar[bool] = False
 
     def __init__(self) -> None:
@@ -79,7 +79,7 @@
         return name in self.execution.find_enabled_actions()
 
     def _check_not_run(self, claim: Claim, *actions: str) -> None:
-        """``not-run`` is answered exactly when one of the actions is possible."""
+        """Require ``not-run`` exactly when one of the actions is enabled."""
         possible = [name for name in actions if self._can(name)]
         assert (claim.state is ClaimState.NOT_RUN) == bool(possible), claim
         if possible:
@@ -133,7 +133,7 @@
         self.execution.take_action("retention passes")
 
     def clean_up(self) -> None:
-        """The book may drop a record when the model may."""
+        """Expire records; the registry may drop one only when the model may."""
         self.owner.expire(self.now_ms)
         record = self.execution.values["record"]
         if record == VOID and self.execution.values["age"] != VALID:
--- a/src/cranberrywheel_spec/tickets.py
+++ b/src/cranberrywheel_spec/tickets.py
@@ -1,4 +1,4 @@
-"""Specification of one ticket: claim, start, release, query, expiry and hand-over.
+"""Model of one ticket: claim, start, release, query, expiry and handover.
 
 The owner is the process that issued the ticket, the peer any other one. Calls with the
 ticket are messages that can be delayed, repeated and forwarded. ``age`` is the phase of
@@ -14,7 +14,7 @@
 VALID, EXPIRED, PAST_RETENTION = range(3)
 NONE, CLAIMED, STARTED, FINISHED, VOID = range(5)
 UNLISTED, ANSWER, UNKNOWN = range(3)
-# ``sent`` is a start request on its way to a worker, ``said_not_run`` an answer to a
+# ``sent`` is a start request in transit to a worker, ``said_not_run`` an answer to a
 # query or to a call.
 _FLAGS = (
     "sent", "said_not_run", "owner_gone", "exported", "exported_past_retention",
@@ -30,10 +30,10 @@
 
 
 def _call_actions(s: State, guard: Guard) -> list[Action]:
-    """What the owner does with calls and queries, which can arrive at any time."""
+    """Build the owner's handling of calls and queries, which can arrive at any time."""
     alive = z3.Not(s.owner_gone)
     unclaimed = z3.And(s.record == NONE, s.age == VALID)
-    # Past retention, a missing record may have been dropped.
+    # Past retention, the absence of a record may mean that it was dropped.
     assumes_unclaimed = guard("no record past retention is unknown", NEVER)
     retained = z3.Or(
         s.age == EXPIRED, z3.And(s.age == PAST_RETENTION, assumes_unclaimed)
@@ -130,7 +130,7 @@
 
 
 def _handover_actions(s: State, guard: Guard) -> list[Action]:
-    """The peer answers for the owner after the owner's complete export."""
+    """Build the handover: the peer answers for the owner after a complete export."""
     open_call = z3.Or(s.record == CLAIMED, s.record == STARTED)
     omits_open_calls = guard("export lists open calls as unknown", NEVER)
     listed = z3.If(
@@ -187,7 +187,7 @@
 
 
 def _invariant(s: State) -> list[t.Any]:
-    """Inductive: implies the properties in every reachable state."""
+    """Return the inductive invariant, which implies the properties."""
     never_started = z3.And(s.starts == 0, z3.Not(s.sent))
     never_claimed = z3.And(never_started, z3.Or(s.record == NONE, s.record == VOID))
     cannot_start = z3.Or(s.record == VOID, s.age != VALID, s.exported)
@@ -213,8 +213,8 @@
 def tickets() -> Model:
     """Build the model.
 
-    :returns: the model; its properties say that a ticket starts at most once and that
-        ``not-run`` is true, also later.
+    :returns: the model; its properties are that a ticket starts at most once and that
+        a task answered as ``not-run`` never runs, also later.
     """
     starts_once, is_truthful = "at most once", "not-run is true"
     return Model(
--- a/src/cranberrywheel_spec/unit_proof.py
+++ b/src/cranberrywheel_spec/unit_proof.py
@@ -1,7 +1,7 @@
 """Inductive invariant of the unit time model, for traces of any length.
 
-The model is extended by the true times of what the clocks recorded. Each recorded
-reading then bounds the true time that has passed since, by the clock rate error.
+The model is extended by the true time of each recorded clock reading. With the clock
+rate error, a reading then bounds the true time that has passed since.
 """
 
 import dataclasses
@@ -59,7 +59,7 @@
 
 
 def _clock_facts(s: State) -> list[t.Any]:
-    """Each clock has moved between its slowest and fastest since each reading."""
+    """Return the bounds on each clock's progress at its slowest and fastest rate."""
     facts = []
     readings = [(getattr(s, a), b, getattr(s, c)) for a, b, c in _READINGS]
     readings.append((s.task_end_s - TASK_S, "worker_s", s.true_start_s))
@@ -103,7 +103,8 @@
         ),
         z3.Implies(z3.Not(started), z3.And(s.task_end_s == 0, s.worker_s >= 0)),
         z3.Implies(s.dead, s.true_dead_s <= s.true_now_s),
-        # The lease outlasts what the holder counts from, or will count from.
+        # The store's last renewal of the lease is not before the time from which the
+        # holder counts, or will count after the pending answer.
         s.true_lease_s >= s.true_valid_s,
         z3.Implies(pending, s.true_lease_s >= s.true_sent_s),
         z3.Implies(z3.Not(s.registered), s.true_now_s >= s.true_lease_s + lease_s),
@@ -112,7 +113,6 @@
             s.rejoining,
             z3.And(z3.Not(s.renewing), s.true_lease_s >= s.true_sent_s),
         ),
-        # Reclaim.
         z3.And(s.read_entry <= s.entry, s.seen_entry <= s.read_entry),
         s.read_revision <= s.revision,
         z3.Implies(s.read_revision == s.revision, s.read_entry == s.entry),
@@ -152,7 +152,7 @@
 def unit_proof(unit_kind: UnitKind) -> Model:
     """Build the extended model.
 
-    :param hold: times of the kind of unit.
+    :param unit_kind: times of the kind of unit.
     :returns: the model with an inductive invariant, for ``prove``.
     """
     model = unit_times(unit_kind)
@@ -167,7 +167,7 @@
         start=lambda s: [
             *model.start(s),
             *(getattr(s, name) == 0 for name in _TRUE_TIMES if name != "true_start_s"),
-            # No task yet: as if one had ended when the clocks started.
+            # No task has run yet: modelled as one that ended when the clocks started.
             s.true_start_s == -TASK_S,
         ],
         actions=actions,
--- a/src/cranberrywheel_spec/unit_times.py
+++ b/src/cranberrywheel_spec/unit_times.py
@@ -1,7 +1,7 @@
-"""Specification of one limit unit over time: hold, start token, task lease, reclaim.
+"""Model of one quota unit over time: lease, start token, task lease and reclaim.
 
 The holder is one process with one unit. Time is real. Each process reads its own clock,
-whose rate differs from the true one by up to ``CLOCK_ERROR``, so two clocks differ by
+whose rate differs from true time by up to ``CLOCK_ERROR``, so two clocks differ by
 about 1%, as docs/design.md assumes. Any time can pass between two steps, which covers
 pauses and slow messages.
 """
@@ -24,9 +24,9 @@
 class UnitKind:
     """Times of one kind of unit.
 
-    :param name: of the kind.
-    :param hold_s: how long the holder may use the unit after its last renewal.
-    :param wait_s: how long the reclaimer sees the registration missing.
+    :param name: name of the kind.
+    :param hold_s: how long the holder may use the unit after the last lease renewal.
+    :param wait_s: how long the registration must be missing before a reclaim.
     """
 
     name: str
@@ -53,7 +53,7 @@
     "checked", "dead", "reused", "reuse_seen", "missing_seen", "record_read",
     "seen_after_read", "reclaimed",
 )  # fmt: skip
-# ``entry`` counts the registrations that the holder entered in the record.
+# ``entry`` is the number of registrations that the holder has written to the record.
 _REVISIONS = ("revision", "read_revision", "entry", "read_entry", "seen_entry")
 
 
@@ -243,7 +243,7 @@
 
 
 def _advance_clocks(s: State) -> tuple[State, t.Any, dict[str, t.Any]]:
-    """Let time pass before an action: the clocks move at slightly different rates."""
+    """Advance the clocks before an action, each at its own rate within the error."""
     clocks = {name: getattr(s, name) + getattr(s, f"{name}_gain") for name in CLOCKS}
     allowed = [s.passed_s >= 0]
     for name in CLOCKS:
@@ -256,8 +256,8 @@
 def unit_times(unit_kind: UnitKind) -> Model:
     """Build the model for one kind of unit.
 
-    :param hold: times of the kind.
-    :returns: the model; its property says that the holder's task has ended before the
+    :param unit_kind: times of the kind.
+    :returns: the model; its property is that the holder's task has ended before the
         unit is free for another holder.
     """
 
--- a/src/cranberrywheel_spec/unit_times_conformance.py
+++ b/src/cranberrywheel_spec/unit_times_conformance.py
@@ -1,4 +1,4 @@
-"""Compares hold times, reclaim and rejoin in the product with the unit time model."""
+"""Compares lease times, reclaim and reregistration with the unit times model."""
 
 import dataclasses
 import fractions
@@ -30,12 +30,13 @@
     unit_kind.name: CompiledModel(unit_times(unit_kind)) for unit_kind in (SHORT, LONG)
 }
 _SETTINGS = QuotaSettings()
-#: Where a step ends: after a short time, or at a bound of the protocol (a clock, the
-#: time from which it counts and how long), or up to a millisecond off it.
+#: Time before a step: one of these durations, or the time left to a time bound of the
+#: protocol with an offset of up to a millisecond.
 _SHORT_MS = (0, 0, 1, 500, 5_000, 30_000)
 _OFFSETS_MS = (-1, 0, 0, 1)
 
-#: Deaths end most of what a run can do; renewals and starts take several steps.
+#: A holder's death disables most actions, so it is rare; renewals and starts need
+#: several steps, so these are frequent.
 _WEIGHTS = {
     "holder dies": 1,
     "answer to renewal is lost": 3,
@@ -51,14 +52,14 @@
 ) -> dict[str, fractions.Fraction]:
     inputs = {"passed_s": fractions.Fraction(passed_ms, 1000)}
     for clock, rate in zip(CLOCKS, rates, strict=True):
-        # Whole milliseconds, as the product reads, rounded towards the true time.
+        # The product reads whole milliseconds; the drift is rounded towards true time.
         gain_ms = passed_ms + int(passed_ms * rate / 10_000)
         inputs[f"{clock}_gain"] = fractions.Fraction(gain_ms, 1000)
     return inputs
 
 
 class UnitTimesMachine(ConformanceMachine):
-    """One unit: the product must use and reclaim it exactly when the model may."""
+    """Requires that the product uses and reclaims a unit exactly when the model may."""
 
     unit_kind: t.ClassVar[UnitKind] = SHORT
     make_ledger: t.ClassVar[type[QuotaLedger]] = QuotaLedger
@@ -99,7 +100,7 @@
         return int(self.execution.values[clock] * 1000)
 
     def _list_time_bounds(self) -> list[tuple[str, str, t.Any]]:
-        """Return clock, start and length of the times that the protocol compares."""
+        """Return clock, start and length (s) of each time bound of the protocol."""
         return [
             ("holder_s", "valid_from_s", self.unit_kind.hold_s),
             ("store_s", "lease_end_s", 0),
@@ -117,19 +118,19 @@
         return {"step_shortly": 6, "step_to_bound": 3, "expire_registration": 1}
 
     def step_shortly(self) -> None:
-        """Take any step after a short time, with clocks that run differently."""
+        """Take any step after a short time, with clocks at different rates."""
         rates = tuple(self.rng.choice((-48, 0, 48)) for _ in CLOCKS)
         self._take_random_action(_build_inputs(self.rng.choice(_SHORT_MS), rates))
 
     def step_to_bound(self) -> None:
-        """Take any step about when a bound of the protocol is reached."""
+        """Take any step at about the time when a bound of the protocol is reached."""
         remaining_ms = self._compute_remaining_ms(
             self.rng.randrange(5)
         ) + self.rng.choice(_OFFSETS_MS)
         self._take_random_action(_build_inputs(max(0, remaining_ms)))
 
     def expire_registration(self) -> None:
-        """Lose the registration, also when it was entered again just before."""
+        """Expire the registration, also directly after a reregistration."""
         self._take_action("holder registers again", _build_inputs(0))
         self._take_action("holder rewrites the record", _build_inputs(0))
         self._take_action("store ends lease", _build_inputs(TTL_S * 1000))
@@ -161,8 +162,8 @@
         if values["record_read"] and values["read_revision"] == values["revision"]:
             is_due = self._is_due()
             may_reclaim = "reclaimer writes the record" in enabled
-            # The product counts a reuse anew when the record names another
-            # registration of the dead holder; the model need not.
+            # The product restarts the wait after a reuse when the record names another
+            # registration of the dead holder; the model does not require this.
             agrees = is_due == may_reclaim or (may_reclaim and values["reuse_seen"])
             assert agrees, f"due: {is_due}"
 
--- a/src/cranberrywheel_spec/unit_transfers.py
+++ b/src/cranberrywheel_spec/unit_transfers.py
@@ -1,8 +1,8 @@
-"""Specification of unit counts in ``limits/<team>``: transfers by compare-and-swap.
+"""Model of quota unit counts in ``limits/<team>``: transfers by compare-and-swap.
 
-Two holders, any limit. Each holder has a view of the record and a usable count. Writes
-and reads are messages that can be delayed without bound, and answers can be lost. Free
-units are those of the limit that no holder has.
+The model has two holders and any limit. Each holder has a view of the record and a
+usable count. Writes and reads are messages that can be delayed without bound, and
+answers can be lost. Free units are the part of the limit that no holder has.
 """
 
 import typing as t
@@ -12,7 +12,8 @@
 from cranberrywheel_spec.model_checking import NEVER, Action, Guard, Model, State
 
 HOLDERS = ("a", "b")
-# record: held_*; view, read and write of each holder: counts and revision.
+# ``held_*`` are the counts in the record; each holder has counts and a revision for its
+# view of the record, its last read and its pending write.
 _COUNTS = (
     "limit", "held_a", "held_b", "revision", "input_own", "input_given",
     *(
@@ -32,7 +33,7 @@
 
 
 class _HolderVariables:
-    """Variables of one holder by role instead of by name."""
+    """Accesses the variables of one holder without its name suffix."""
 
     def __init__(self, s: State, own: str) -> None:
         self.own, self.other = own, HOLDERS[own == "a"]
@@ -42,7 +43,7 @@
         return getattr(self._s, f"{name}_{self.own}")
 
     def counts_by_holder(self, name: str) -> dict[str, t.Any]:
-        """Return one count per holder: of the view, the read or the write."""
+        """Return the counts by holder in the view, the read or the write."""
         return {
             holder_id: getattr(self._s, f"{name}_{holder_id}_{self.own}")
             for holder_id in HOLDERS
@@ -90,13 +91,13 @@
 
 
 def _send_actions(s: State, holder: _HolderVariables, guard: Guard) -> list[Action]:
-    """A write changes the own count and only raises the other holder's count."""
+    """Build a write that sets the own count and may only raise the other's count."""
     view, holder_id, other_id = (
         holder.counts_by_holder("view"),
         holder.own,
         holder.other,
     )
-    # A write in flight that expects an older revision can only fail.
+    # A write in flight that expects an older revision will be refused.
     may_send = z3.And(
         z3.Not(holder.waiting),
         z3.Or(z3.Not(holder.in_flight), holder.write_expects < holder.view_revision),
@@ -208,7 +209,7 @@
 
 
 def _invariant(s: State) -> list[t.Any]:
-    """Inductive: implies the property in every reachable state."""
+    """Return the inductive invariant, which implies the property."""
     held = {"a": s.held_a, "b": s.held_b}
     conditions = [s.held_a >= 0, s.held_b >= 0, s.held_a + s.held_b <= s.limit]
     for holder_id in HOLDERS:
@@ -296,7 +297,7 @@
 def unit_transfers() -> Model:
     """Build the model.
 
-    :returns: the model; its property says that the usable counts fit the limit.
+    :returns: the model; its property is that the usable counts fit the limit.
     """
     within_limit = "usable units fit the limit"
     names = (
--- a/src/cranberrywheel_spec/unit_transfers_conformance.py
+++ b/src/cranberrywheel_spec/unit_transfers_conformance.py
@@ -1,4 +1,4 @@
-"""Compares ``QuotaLedger`` and the limit record functions with the transfer model."""
+"""Compares ``QuotaLedger`` and the limit record functions with the model."""
 
 import typing as t
 
@@ -24,7 +24,7 @@
 
 
 class _Holder:
-    """One holder: its ledger, view of the record and open messages."""
+    """One holder: its ledger, view of the record and pending messages."""
 
     def __init__(self, stored: StoredRecord, name: str, ledger: QuotaLedger) -> None:
         self.name, self.ledger = name, ledger
@@ -45,7 +45,7 @@
 
 
 class UnitTransfersMachine(ConformanceMachine):
-    """Two holders move units; the model must allow each write and each count."""
+    """Transfers units between two holders; the model must allow each write."""
 
     rebalance: t.ClassVar = staticmethod(quota_units.rebalance)
     make_ledger: t.ClassVar[type[QuotaLedger]] = QuotaLedger
@@ -167,7 +167,7 @@
         self._check()
 
     def deliver_all(self, name: str) -> None:
-        """Complete an open write and read the result, as without faults."""
+        """Complete a pending write and read the result, as in a run without faults."""
         self.deliver_write(name)
         self.deliver_answer(name)
         self.read(name)
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -6,7 +6,7 @@
 from cranberrywheel_spec import compare
 from cranberrywheel_spec.ticket_conformance import TicketMachine
 
-# The product has no call for these: they happen to it, or are guards at work.
+# The product has no call for these: they are external events or excluded by guards.
 UNTESTED_ACTIONS = {
     "owner dies",
     "holder uses its units without a rewrite",
@@ -51,9 +51,9 @@
 
 
 class CommandTest(testtools.TestCase):
-    """Guards against a command that hides a difference."""
+    """Guards against a comparison command that reports success despite a difference."""
 
-    def test_exit_code_tells_of_a_difference(self):
+    def test_exit_code_reports_a_difference(self):
         faulty_machine = type(
             "Late", (TicketMachine,), {"_check_state": self.raise_difference}
         )
--- a/tests/test_freshness_conformance.py
+++ b/tests/test_freshness_conformance.py
@@ -50,7 +50,7 @@
 
 
 class FreshnessConformanceTest(testtools.TestCase):
-    """Guards against freshness code that claims more than the checked model allows."""
+    """Guards against conformance checks that miss a false proof of freshness."""
 
     def test_faulty_exchanges_are_detected(self):
         for faulty_class in (
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -71,14 +71,14 @@
         line(3, "limit", team="t", limit=1), end(9_000, "a"), end(9_001, "b"),
         start(9_001, "c", "r1"),
     ],
-    "a lost worker ends its tasks": [
+    "tasks of a lost worker have ended": [
         LIMIT, invoke(1, "r1"), start(2, "a", "r1"),
         line(3, "worker_lost", worker="w"), start(4, "b", "r1", worker="v"),
     ],
-    "withdrawn key used within the bound": [
+    "revoked key used within the bound": [
         line(1, "withdraw", key_id="k"), invoke(5_001, "r1"), start(5_002, "a", "r1"),
     ],
-    "stale key on a queue that serves": [
+    "revoked key on a queue that serves stale keys": [
         line(0, "meta", stale_queues=["q"]), line(1, "withdraw", key_id="k"),
         invoke(9_000, "r1"), start(9_001, "a", "r1"),
     ],
@@ -138,7 +138,8 @@
 
 
 class HistoryTest(testtools.TestCase):
-    """Guards against a checker that passes a history with a violation."""
+    """Guards against a checker that accepts a history with a violation, or rejects a
+    correct one."""
 
     def test_every_rule_has_histories_that_it_rejects(self):
         self.assertEqual(sorted(RULES), sorted(REJECTED))
@@ -165,7 +166,7 @@
         error = self.assertRaises(HistoryError, parse_lines, lines, "h.jsonl")
         self.assertIn("h.jsonl:2", str(error))
 
-    def test_last_line_cut_off_by_a_kill_is_skipped(self):
+    def test_truncated_last_line_is_skipped(self):
         self.assertEqual(1, len(parse_lines([LIMIT, '{"at_ms": 3, "ev'])))
 
     def test_exit_codes(self):
--- a/tests/test_pool_conformance.py
+++ b/tests/test_pool_conformance.py
@@ -8,7 +8,7 @@
 
 
 class RereadingZone(ZoneRecord):
-    """Writes against the newest revision instead of the one it knows."""
+    """Writes against the newest revision instead of the one that it has read."""
 
     def _write(self, pools):
         self._stored = self._records.read(self._key)
@@ -16,7 +16,7 @@
 
 
 class UnconfirmedZone(ZoneRecord):
-    """Takes the recorded states for true without telling the platform."""
+    """Treats the recorded states as confirmed without calling the platform."""
 
     def claim(self, configuration, now_ms):
         super().claim(configuration, now_ms)
@@ -35,7 +35,7 @@
 
 
 class PoolConformanceTest(testtools.TestCase):
-    """Guards against pool code that differs from the checked model."""
+    """Guards against conformance checks that miss faults in the pool code."""
 
     def test_faulty_moves_are_detected(self):
         for changes in (
--- a/tests/test_spec_models.py
+++ b/tests/test_spec_models.py
@@ -22,11 +22,11 @@
 
 class ModelChecks:
     """Guards against a protocol change that breaks an invariant, and against a check
-    that would not notice: each guard that is dropped must give a violation."""
+    that cannot detect one: each dropped guard must give a violation."""
 
     def test_properties_hold(self):
         proof = check.PROOFS.get(self.model.name)
-        # A proof covers any length; the search is then a second, shorter check.
+        # A proof covers traces of any length, so a shorter search is sufficient.
         self.assertEqual(
             "", find_violation(self.model, depth=6 if proof else 0).violated
         )
--- a/tests/test_ticket_conformance.py
+++ b/tests/test_ticket_conformance.py
@@ -38,7 +38,7 @@
 
 
 class TicketConformanceTest(testtools.TestCase):
-    """Guards against a TicketRegistry that differs from the checked model."""
+    """Guards against conformance checks that miss faults in the ticket registry."""
 
     def test_faulty_registries_are_detected(self):
         for faulty_class in (
--- a/tests/test_unit_conformance.py
+++ b/tests/test_unit_conformance.py
@@ -26,7 +26,7 @@
 
 
 class MergedAbsenceHolders(MissingHolders):
-    """Does not tell a second absence of a holder from the first."""
+    """Counts a second absence of a holder from the start of the first."""
 
     def observe(self, records, registrations, now_ms):
         absences_by_holder = {
@@ -63,7 +63,7 @@
 
 
 class UnitConformanceTest(testtools.TestCase):
-    """Guards against unit code that differs from the checked models."""
+    """Guards against conformance checks that miss faults in the quota unit code."""
 
     def assert_detected(self, machine, **changes):
         changes = {
