--- a/src/cranberrywheel_load/fault_proxy.py
+++ b/src/cranberrywheel_load/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback TCP proxy that delays, resets, cuts one way or silences connections."""
+"""TCP proxy that delays, resets, refuses or blackholes connections."""
 
 import enum
 import selectors
@@ -7,14 +7,19 @@
 import threading
 import time
 
-CHUNK_BYTES = 65_536
-POLL_S = 0.05
-#: Linger of zero seconds: closing such a socket resets its connection.
+READ_BYTES = 65_536
+POLL_INTERVAL_S = 0.05
+#: SO_LINGER enabled with zero seconds: closing the socket sends a TCP reset.
 RESET_LINGER = struct.pack("ii", 1, 0)
 
 
 class Fault(enum.Enum):
-    """What happens to the bytes; ``CUT_ANSWERS`` lets only requests pass."""
+    """Treatment of connections.
+
+    ``DELAY`` forwards bytes after a delay, ``SILENCE`` discards them in both
+    directions, ``CUT_ANSWERS`` discards only those from the target, ``REFUSE``
+    resets connections.
+    """
 
     NONE = "none"
     DELAY = "delay"
@@ -24,38 +29,41 @@
 
 
 class FaultProxy:
-    """Passes connections on to a target, under the fault that is set.
+    """Forwards connections to a target and applies the current fault.
 
-    Bytes that are held back by a fault are lost with their connection, as when one
-    end gives up behind a partition.
+    A connection on which bytes were discarded forwards nothing any more, also after
+    the fault has ended, like a connection whose peer gave up during a partition.
 
-    :param listen: address of the proxy.
-    :param target: address that it stands for.
+    :param listen: address on which the proxy listens.
+    :param target: address to which connections are forwarded.
     """
 
     def __init__(self, listen: tuple[str, int], target: tuple[str, int]) -> None:
         self._target = target
         self._listener = socket.create_server(listen, backlog=256)
-        self._listener.settimeout(POLL_S)
+        self._listener.settimeout(POLL_INTERVAL_S)
         self.fault = Fault.NONE
         self.delay_s = 0.0
         self._stopped = False
         self._lock = threading.Lock()
         self._sockets: set[socket.socket] = set()
-        self._thread = threading.Thread(target=self._accept, daemon=True)
+        self._thread = threading.Thread(target=self._accept_connections, daemon=True)
 
     def start(self) -> None:
-        """Start to accept."""
+        """Start accepting connections."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Close everything."""
+        """Close the listener and reset all connections."""
         self._stopped = True
         self._listener.close()
         self.reset()
 
     def set(self, fault: Fault, delay_s: float = 0.0) -> None:
-        """Set the fault for all connections, old and new."""
+        """Set the fault for existing and new connections.
+
+        :param delay_s: delay of each chunk of bytes under ``DELAY``.
+        """
         self.delay_s = delay_s
         self.fault = fault
         if fault is Fault.REFUSE:
@@ -70,19 +78,21 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_LINGER)
                 sock.close()
             except OSError:
-                pass  # it was closed by its pump
+                pass  # closed by the connection's own thread
 
-    def _accept(self) -> None:
+    def _accept_connections(self) -> None:
         while not self._stopped:
             try:
                 client, _ = self._listener.accept()
             except TimeoutError:
                 continue
             except OSError:
-                return  # the proxy stops
-            threading.Thread(target=self._serve, args=(client,), daemon=True).start()
+                return  # stop() closed the listener
+            threading.Thread(
+                target=self._handle_connection, args=(client,), daemon=True
+            ).start()
 
-    def _serve(self, client: socket.socket) -> None:
+    def _handle_connection(self, client: socket.socket) -> None:
         try:
             if self.fault is Fault.REFUSE:
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_LINGER)
@@ -95,7 +105,7 @@
         with self._lock:
             self._sockets |= {client, server}
         try:
-            self._pump(client, server)
+            self._forward(client, server)
         except (OSError, ValueError):
             pass  # reset by a fault or by one end
         finally:
@@ -104,16 +114,16 @@
             client.close()
             server.close()
 
-    def _pump(self, client: socket.socket, server: socket.socket) -> None:
+    def _forward(self, client: socket.socket, server: socket.socket) -> None:
         selector = selectors.DefaultSelector()
         selector.register(client, selectors.EVENT_READ, server)
         selector.register(server, selectors.EVENT_READ, client)
         with selector:
             while not self._stopped:
-                for key, _ in selector.select(POLL_S):
+                for key, _ in selector.select(POLL_INTERVAL_S):
                     source = key.fileobj
                     assert isinstance(source, socket.socket)
-                    data = source.recv(CHUNK_BYTES)
+                    data = source.recv(READ_BYTES)
                     if not data:
                         return
                     fault = self.fault
@@ -122,17 +132,17 @@
                     if fault is Fault.SILENCE or (
                         fault is Fault.CUT_ANSWERS and source is server
                     ):
-                        self._swallow(client, server)
+                        self._discard_bytes(client, server)
                         return
                     key.data.sendall(data)
 
-    def _swallow(self, client: socket.socket, server: socket.socket) -> None:
-        """Keep a connection open without passing anything on, for good."""
+    def _discard_bytes(self, client: socket.socket, server: socket.socket) -> None:
+        """Keep a connection open, discarding the client's bytes, until it closes."""
         while not self._stopped and client.fileno() >= 0 and server.fileno() >= 0:
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
             try:
                 client.setblocking(False)
-                if not client.recv(CHUNK_BYTES):
+                if not client.recv(READ_BYTES):
                     return
             except BlockingIOError:
                 continue
--- a/src/cranberrywheel_load/report.py
+++ b/src/cranberrywheel_load/report.py
@@ -1,4 +1,4 @@
-"""Tables and JSON of what the callers saw."""
+"""Tables and JSON reports of call results."""
 
 import collections
 import dataclasses
@@ -10,29 +10,32 @@
 
 from cranberrywheel_load.driver import CallResult
 
-#: highest value and precision of the latency histograms.
+#: Upper bound of the latency histograms: one hour.
 MAX_LATENCY_MS = 3_600_000
 SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
-def percentiles(values_ms: t.Iterable[float]) -> dict[str, float]:
-    """Return percentiles and the maximum of durations in milliseconds."""
+def compute_percentiles(values_ms: t.Iterable[float]) -> dict[str, float]:
+    """Return count, percentiles and maximum of durations in milliseconds."""
     histogram = HdrHistogram(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
     for value in values_ms:
         histogram.record_value(min(max(round(value), 1), MAX_LATENCY_MS))
-    found = {f"p{p:g}": histogram.get_value_at_percentile(p) for p in PERCENTILES}
+    by_percentile = {
+        f"p{p:g}": histogram.get_value_at_percentile(p) for p in PERCENTILES
+    }
     return {
         "count": histogram.get_total_count(),
-        **found,
+        **by_percentile,
         "max": histogram.get_max_value(),
     }
 
 
-def useful_work(results: t.Sequence[CallResult]) -> float:
-    """Return the run time answered ``ok`` over the run time asked for.
+def compute_useful_fraction(results: t.Sequence[CallResult]) -> float:
+    """Return the run time of work answered ``ok`` divided by the requested run time.
 
-    Only calls that their caller did not plan to cancel count, each work once.
+    Calls that their caller cancels are ignored, and work that was sent several times
+    counts once.
     """
     offered = {r.work: r.run_ms for r in results if r.wanted}
     done = {r.work: r.run_ms for r in results if r.wanted and r.outcome == "ok"}
@@ -40,25 +43,25 @@
 
 
 def summarize(results: t.Sequence[CallResult]) -> dict[str, t.Any]:
-    """Return outcome counts and latency percentiles of each queue."""
+    """Return the useful fraction, and the counts and latencies of each queue."""
     by_queue: dict[str, list[CallResult]] = collections.defaultdict(list)
     for result in results:
         by_queue[result.queue].append(result)
     rows = {}
-    for queue, part in sorted(by_queue.items()):
-        answered = [r.done_ms - r.sent_ms for r in part if r.outcome == "ok"]
-        kinds = collections.Counter(r.kind for r in part if r.kind)
+    for queue, queue_results in sorted(by_queue.items()):
+        answered = [r.done_ms - r.sent_ms for r in queue_results if r.outcome == "ok"]
+        kinds = collections.Counter(r.kind for r in queue_results if r.kind)
         rows[queue] = {
-            "calls": len(part),
-            "outcomes": dict(collections.Counter(r.outcome for r in part)),
+            "calls": len(queue_results),
+            "outcomes": dict(collections.Counter(r.outcome for r in queue_results)),
             "kinds": dict(kinds),
-            "latency_ms": percentiles(answered),
+            "latency_ms": compute_percentiles(answered),
         }
-    return {"useful_over_offered": useful_work(results), "queues": rows}
+    return {"useful_over_offered": compute_useful_fraction(results), "queues": rows}
 
 
 def format_table(header: t.Sequence[str], rows: t.Iterable[t.Sequence[t.Any]]) -> str:
-    """Return aligned columns; floats keep three decimals."""
+    """Return a table with aligned columns; floats are rounded to three decimals."""
     texts = [
         [f"{cell:.3f}" if isinstance(cell, float) else str(cell) for cell in row]
         for row in rows
@@ -75,8 +78,8 @@
     )
 
 
-def queue_table(summary: t.Mapping[str, t.Any]) -> str:
-    """Return the summary as one line for each queue."""
+def format_queue_table(summary: t.Mapping[str, t.Any]) -> str:
+    """Return a summary as a table with one row for each queue."""
     outcomes = ("ok", "failed", "unknown", "not-run", "broken", "cancelled")
     rows = [
         [
@@ -93,6 +96,6 @@
 def write_json(
     path: str, summary: t.Mapping[str, t.Any], results: t.Sequence[CallResult] = ()
 ) -> None:
-    """Write a summary and, if given, each call."""
+    """Write a summary and the call results as JSON."""
     calls = [dataclasses.asdict(result) for result in results]
     pathlib.Path(path).write_text(json.dumps({**summary, "calls": calls}, indent=1))
--- a/src/cranberrywheel_spec/freshness_conformance.py
+++ b/src/cranberrywheel_spec/freshness_conformance.py
@@ -87,9 +87,9 @@
 
     def knows(self) -> bool:
         """Return whether this entry refuses the revoked key."""
-        snapshot = self.exchange.holder.snapshot
-        withdrawn = snapshot is not None and _KEY not in snapshot.keys_by_id
-        return withdrawn or _KEY in self.exchange.list_unwritten_tombstones()
+        snapshot = self.exchange.active_configuration.snapshot
+        is_revoked = snapshot is not None and _KEY not in snapshot.keys_by_id
+        return is_revoked or _KEY in self.exchange.list_unwritten_tombstones()
 
 
 class FreshnessMachine(ConformanceMachine):
@@ -115,7 +115,7 @@
         self.answers: dict[str, tuple[PeerState, Record | None]] = {}
         roster = [e.exchange.registration for e in self.entries.values()]
         for entry in self.entries.values():
-            entry.exchange.holder.adopt(self.stored)
+            entry.exchange.active_configuration.adopt(self.stored)
             entry.exchange.set_roster(roster, entry.start_ms)
         self._list_instances()
 
@@ -134,13 +134,13 @@
         return _MODEL
 
     def list_step_weights(self) -> dict[str, int]:
-        found = {"wait": 6, "deliver_old_record x": 1, "deliver_old_record d": 1}
+        weights = {"wait": 6, "deliver_old_record x": 1, "deliver_old_record d": 1}
         for name in self.execution.find_enabled_actions():
             if "answer" in name or "gets" in name:
-                found[f"take {name}"] = 9
+                weights[f"take {name}"] = 9
             elif "has heard all" not in name:
-                found[f"take {name}"] = 1 if "dies" in name else 2
-        return found
+                weights[f"take {name}"] = 1 if "dies" in name else 2
+        return weights
 
     def wait(self) -> None:
         """Advance all clocks."""
@@ -150,9 +150,9 @@
             entry.clock.advance(passed_ms)
         self._check()
 
-    def deliver_old_record(self, i: str) -> None:
+    def deliver_old_record(self, entry_name: str) -> None:
         """Deliver the old record late, as by a delayed watch or a slow peer."""
-        self.entries[i].exchange.holder.adopt(self.before)
+        self.entries[entry_name].exchange.active_configuration.adopt(self.before)
         self._check()
 
     def _advance_model(self, name: str) -> None:
@@ -164,39 +164,47 @@
     def take(self, name: str) -> None:
         """Take a step of the model and apply it to the product."""
         self._advance_model(name)
-        for i in LEARNERS:
-            if name == f"{i} sends a read to the store":
-                self.sent_ms[i] = self.entries[i].clock.now_ms()
-            elif name == f"store answers {i}":
-                self.reads[i] = self.sent_ms[i], self.stored
-            elif name == f"{i} gets the record":
-                self._get_record(i)
-        for i, j in PAIRS:
-            if name == f"{i} calls {j}":
-                self.sent_ms[i + j] = self.entries[i].clock.now_ms()
-            elif name == f"{j} answers {i}":
-                exchange = self.entries[j].exchange
-                self.answers[i + j] = exchange.build_state(), exchange.holder.record
-            elif name == f"{i} gets the answer of {j}":
-                self._get_answer(i, j)
+        for entry_name in LEARNERS:
+            if name == f"{entry_name} sends a read to the store":
+                self.sent_ms[entry_name] = self.entries[entry_name].clock.now_ms()
+            elif name == f"store answers {entry_name}":
+                self.reads[entry_name] = self.sent_ms[entry_name], self.stored
+            elif name == f"{entry_name} gets the record":
+                self._get_record(entry_name)
+        for entry_name, peer_name in PAIRS:
+            if name == f"{entry_name} calls {peer_name}":
+                self.sent_ms[entry_name + peer_name] = self.entries[
+                    entry_name
+                ].clock.now_ms()
+            elif name == f"{peer_name} answers {entry_name}":
+                exchange = self.entries[peer_name].exchange
+                self.answers[entry_name + peer_name] = (
+                    exchange.build_state(),
+                    exchange.active_configuration.record,
+                )
+            elif name == f"{entry_name} gets the answer of {peer_name}":
+                self._get_answer(entry_name, peer_name)
         self._withdraw(name)
         self._check()
 
-    def _get_record(self, i: str) -> None:
-        sent_ms, record = self.reads[i]
-        exchange = self.entries[i].exchange
-        exchange.holder.adopt(record)
+    def _get_record(self, entry_name: str) -> None:
+        sent_ms, record = self.reads[entry_name]
+        exchange = self.entries[entry_name].exchange
+        exchange.active_configuration.adopt(record)
         exchange.record_store_read(sent_ms)
 
-    def _get_answer(self, i: str, j: str) -> None:
-        state, record = self.answers[i + j]
-        exchange, sent_ms = self.entries[i].exchange, self.sent_ms[i + j]
+    def _get_answer(self, entry_name: str, peer_name: str) -> None:
+        state, record = self.answers[entry_name + peer_name]
+        exchange, sent_ms = (
+            self.entries[entry_name].exchange,
+            self.sent_ms[entry_name + peer_name],
+        )
         if not exchange.merge_state(state, sent_ms):
-            exchange.holder.adopt(record)
+            exchange.active_configuration.adopt(record)
             assert exchange.merge_state(state, sent_ms)
         # Each merge in the product also evaluates the proof from all entries' reports.
-        if f"{i} has heard all" in self.execution.find_enabled_actions():
-            self._advance_model(f"{i} has heard all")
+        if f"{entry_name} has heard all" in self.execution.find_enabled_actions():
+            self._advance_model(f"{entry_name} has heard all")
 
     def _withdraw(self, name: str) -> None:
         w, c = self.entries["w"].exchange, self.entries["c"].exchange
@@ -209,17 +217,17 @@
             self.stored = self.after
         if name == "c confirms the mark":
             c.merge_state(w.build_state(), None)
-        for k in INFORMED:
-            if name == f"{k} dies, list shows it gone":
-                self.listed.discard(k)
+        for informed_name in INFORMED:
+            if name == f"{informed_name} dies, list shows it gone":
+                self.listed.discard(informed_name)
                 self._list_instances()
 
     def _check(self) -> None:
         values = self.execution.values
         now_s = values["now_s"] + fractions.Fraction(self.passed_ms, 1000)
-        late = values["accepted"] and now_s - values["accepted_s"] > BOUND_S
+        is_late = values["accepted"] and now_s - values["accepted_s"] > BOUND_S
         for name, entry in self.entries.items():
-            version = entry.exchange.holder.version
+            version = entry.exchange.active_configuration.version
             assert version >= entry.version, f"{name} reverted to {version}"
             entry.version = version
             assert entry.knows() >= bool(values[f"knows_{name}"]), name
@@ -227,4 +235,4 @@
                 assert entry.proof_ms <= values[f"proof_s_{name}"] * 1000, name
                 now_ms = entry.clock.now_ms()
                 fresh = entry.tracker.is_fresh(now_ms, BOUND_S * 1000)
-                assert not (late and fresh) or entry.knows(), f"{name} accepts"
+                assert not (is_late and fresh) or entry.knows(), f"{name} accepts"
