--- a/src/cranberrywheel_spec/pool_conformance.py
+++ b/src/cranberrywheel_spec/pool_conformance.py
@@ -1,4 +1,4 @@
-"""Compares pool records, moves and disruptions in the product with the pool model."""
+"""Compares pool records, pool moves and disruptions with the pool moves model."""
 
 import typing as t
 
@@ -50,7 +50,7 @@
 
 
 class _Client:
-    """Store and platform calls; ``lost`` platform calls get no answer."""
+    """Client of the store and the platform; while ``lost``, platform calls time out."""
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
@@ -79,13 +79,13 @@
 
 
 class _Lease:
-    """A lease whose holder may be paused after any check."""
+    """A lease that is always valid; its holder can be paused after any check."""
 
     def __init__(self, fence: int) -> None:
         self.fence = fence
 
     def require_valid(self) -> None:
-        """Pass: the model decides when a check succeeds."""
+        """Succeed: the model decides when the lease is valid."""
 
 
 class _Planner:
@@ -102,7 +102,7 @@
 
 
 class PoolMachine(ConformanceMachine):
-    """Two planners of one zone and one of another; the model must allow each step."""
+    """Runs two planners of a zone and one of another; the model allows each step."""
 
     make_zone: t.ClassVar[type[ZoneRecord]] = ZoneRecord
     make_client: t.ClassVar[type[_Client]] = _Client
@@ -112,7 +112,8 @@
         super().__init__()
         self.client = self.make_client(Platform(now_s=lambda: 0.0))
         self.planners = {
-            p: _Planner(self.client, self.make_zone, int(p)) for p in PLANNERS
+            planner_id: _Planner(self.client, self.make_zone, int(planner_id))
+            for planner_id in PLANNERS
         }
         self.other = Disruptions(RecordStore(self.client, "other"))
         self.execution = ModelExecution(_MODEL)
@@ -124,16 +125,16 @@
 
     def list_step_weights(self) -> dict[str, int]:
         found = {"start_task": 1, "end_task": 3, "other_planner": 1}
-        # Planner 2 takes over once planner 1 had the time for some steps.
+        # The low weight delays planner 2, so that planner 1 can take some steps first.
         found["claim 1"] = 5
         found["claim 2"] = 1
         weights = {"confirm": 3, "drain": 3, "recall": 1, "advance_own": 4}
         weights |= {"write_empty": 3, "read_list": 1, "check_lease": 2}
         weights |= {"list_own": 2, "remove_own": 2}
-        for p in PLANNERS:
-            if self.execution.values[f"leads_{p}"]:
-                found |= {f"{step} {p}": w for step, w in weights.items()}
-                found[f"claim {p}"] = 0
+        for planner_id in PLANNERS:
+            if self.execution.values[f"leads_{planner_id}"]:
+                found |= {f"{step} {planner_id}": w for step, w in weights.items()}
+                found[f"claim {planner_id}"] = 0
         return found
 
     def _can(self, name: str) -> bool:
@@ -142,33 +143,33 @@
     def _check(self) -> None:
         values = self.execution.values
         assert self.client.drained == values["drained"]
-        for p, planner in self.planners.items():
-            if values[f"leads_{p}"]:
+        for planner_id, planner in self.planners.items():
+            if values[f"leads_{planner_id}"]:
                 confirmed = planner.zone.confirmation_age_ms(_OWN) is not None
                 call = "carries out the call of planner"
-                answered = values[f"answered_{p}"]
-                assert confirmed <= bool(answered), f"platform {call} {p}"
+                answered = values[f"answered_{planner_id}"]
+                assert confirmed <= bool(answered), f"platform {call} {planner_id}"
                 state = planner.row.state
-                assert state is _STATES[values[f"view_state_{p}"]], state
+                assert state is _STATES[values[f"view_state_{planner_id}"]], state
 
-    def claim(self, p: str) -> None:
-        name = f"planner {p} takes the lease and writes its fence"
+    def claim(self, planner_id: str) -> None:
+        name = f"planner {planner_id} takes the lease and writes its fence"
         if self._can(name):
-            self.planners[p].zone.claim(_CONFIGURATION, 0)
+            self.planners[planner_id].zone.claim(_CONFIGURATION, 0)
             self.execution.take_action(name)
             self._check()
 
-    def confirm(self, p: str) -> None:
-        """A call that the platform refuses must be one that the model refuses."""
-        name = f"platform carries out the call of planner {p}"
-        zone = self.planners[p].zone
+    def confirm(self, planner_id: str) -> None:
+        """Repeat the platform call; it may be refused only if the model refuses it."""
+        name = f"platform carries out the call of planner {planner_id}"
+        zone = self.planners[planner_id].zone
         if (
-            not self.execution.values[f"leads_{p}"]
+            not self.execution.values[f"leads_{planner_id}"]
             or zone.confirmation_age_ms(_OWN) is not None
         ):
             return
-        if self._can(f"planner {p} repeats its call"):
-            self.execution.take_action(f"planner {p} repeats its call")
+        if self._can(f"planner {planner_id} repeats its call"):
+            self.execution.take_action(f"planner {planner_id} repeats its call")
         allowed = self._can(name)
         try:
             zone.apply_unconfirmed()
@@ -178,53 +179,62 @@
             self.execution.take_action(name)
         self._check()
 
-    def drain(self, p: str) -> None:
+    def drain(self, planner_id: str) -> None:
         pool = self.rng.choice(["", "x"])
-        values, planner = self.execution.values, self.planners[p]
-        stale = values[f"view_revision_{p}"] != values["revision"]
-        ready = values[f"knows_listed_{p}"] and values[f"answered_{p}"]
-        if values[f"leads_{p}"] and planner.row.state is InstanceState.SERVING:
+        values, planner = self.execution.values, self.planners[planner_id]
+        stale = values[f"view_revision_{planner_id}"] != values["revision"]
+        ready = (
+            values[f"knows_listed_{planner_id}"] and values[f"answered_{planner_id}"]
+        )
+        if values[f"leads_{planner_id}"] and planner.row.state is InstanceState.SERVING:
             if pool != planner.row.pool and (stale or ready):
-                self._write(p, instance_lifecycle.begin_drain(planner.row, pool, 0))
+                self._write(
+                    planner_id, instance_lifecycle.begin_drain(planner.row, pool, 0)
+                )
 
-    def recall(self, p: str) -> None:
-        planner = self.planners[p]
-        if self.execution.values[f"leads_{p}"]:
+    def recall(self, planner_id: str) -> None:
+        planner = self.planners[planner_id]
+        if self.execution.values[f"leads_{planner_id}"]:
             if planner.row.state is InstanceState.DRAINING:
-                self._write(p, instance_lifecycle.recall(planner.row, 0))
+                self._write(planner_id, instance_lifecycle.recall(planner.row, 0))
 
-    def advance_own(self, p: str) -> None:
-        """Ask the worker, then write the next state."""
-        planner, values = self.planners[p], self.execution.values
-        if not values[f"leads_{p}"] or planner.zone.confirmation_age_ms(_OWN) is None:
+    def advance_own(self, planner_id: str) -> None:
+        """Poll the worker, then write the next state."""
+        planner, values = self.planners[planner_id], self.execution.values
+        if (
+            not values[f"leads_{planner_id}"]
+            or planner.zone.confirmation_age_ms(_OWN) is None
+        ):
             return
         report = WorkerReport(running=int(values["running"]))
         row = self.advance(planner.row, report, True, False, 0)
         if row is None:
             return
         if row.state is InstanceState.EMPTY:
-            self.execution.take_action(f"planner {p} gets a report without tasks")
+            self.execution.take_action(
+                f"planner {planner_id} gets a report without tasks"
+            )
             planner.empty_row = row
         elif planner.row.state is not InstanceState.SERVING:
-            self._write(p, row)
+            self._write(planner_id, row)
 
-    def write_empty(self, p: str) -> None:
-        planner = self.planners[p]
+    def write_empty(self, planner_id: str) -> None:
+        planner = self.planners[planner_id]
         row, planner.empty_row = planner.empty_row, None
         if row and planner.row.state is InstanceState.DRAINING:
-            self._write(p, row)
+            self._write(planner_id, row)
 
-    def _write(self, p: str, row: InstanceAssignment) -> None:
-        """Write a row; the platform call that follows is lost."""
-        if not self.execution.values[f"in_force_{p}"]:
+    def _write(self, planner_id: str, row: InstanceAssignment) -> None:
+        """Write an assignment; the platform call that follows is lost."""
+        if not self.execution.values[f"in_force_{planner_id}"]:
             return
-        # A report counts only for the state in which it was asked for.
-        self.planners[p].empty_row = None
-        name = f"planner {p} writes {row.state}"
+        # A report is valid only for the state in which it was requested.
+        self.planners[planner_id].empty_row = None
+        name = f"planner {planner_id} writes {row.state}"
         allowed = self._can(name)
         self.client.lost = True
         try:
-            self.planners[p].zone.write_changes({_OWN: row})
+            self.planners[planner_id].zone.write_changes({_OWN: row})
         except StoreConflictError:
             assert not allowed, f"{name} was refused"
             return
@@ -234,38 +244,40 @@
             self.client.lost = False
         self.execution.take_action(name)
         if row.state is InstanceState.EMPTY:
-            # The drain of the state before still holds.
-            self.planners[p].zone.apply_unconfirmed()
+            # The instance is still drained from the previous state.
+            self.planners[planner_id].zone.apply_unconfirmed()
         self._check()
 
-    def read_list(self, p: str) -> None:
-        name = f"planner {p} reads disruptions"
+    def read_list(self, planner_id: str) -> None:
+        name = f"planner {planner_id} reads disruptions"
         if self._can(name):
-            self.planners[p].disruptions.read()
+            self.planners[planner_id].disruptions.read()
             self.execution.take_action(name)
 
-    def check_lease(self, p: str) -> None:
-        name = f"planner {p} finds its lease valid"
+    def check_lease(self, planner_id: str) -> None:
+        name = f"planner {planner_id} finds its lease valid"
         if self._can(name):
             self.execution.take_action(name)
 
-    def list_own(self, p: str) -> None:
-        self._change_list(p, f"planner {p} lists the instance", {_OWN: "p"}, [])
+    def list_own(self, planner_id: str) -> None:
+        self._change_list(
+            planner_id, f"planner {planner_id} lists the instance", {_OWN: "p"}, []
+        )
 
-    def remove_own(self, p: str) -> None:
-        name = f"planner {p} removes the instance from the list"
-        self._change_list(p, name, {}, [_OWN])
+    def remove_own(self, planner_id: str) -> None:
+        name = f"planner {planner_id} removes the instance from the list"
+        self._change_list(planner_id, name, {}, [_OWN])
 
     def _change_list(
-        self, p: str, name: str, added: dict[str, str], removed: list[str]
+        self, planner_id: str, name: str, added: dict[str, str], removed: list[str]
     ) -> None:
         values = self.execution.values
-        stale = values[f"list_view_{p}"] != values["list_revision"]
-        if not self._can(name) and not (stale and values[f"leads_{p}"]):
+        stale = values[f"list_view_{planner_id}"] != values["list_revision"]
+        if not self._can(name) and not (stale and values[f"leads_{planner_id}"]):
             return
         before = self.client.get("disruptions")
         try:
-            self.planners[p].disruptions.change(_CONFIGURATION, added, removed)
+            self.planners[planner_id].disruptions.change(_CONFIGURATION, added, removed)
         except StoreConflictError:
             assert stale, f"{name} was refused"
             return
@@ -281,7 +293,7 @@
             self.execution.take_action("task ends")
 
     def other_planner(self) -> None:
-        """The planner of the other zone acts at once, within the budget."""
+        """List or remove the instance of the other zone within the budget."""
         listed = {name for names in self.other.read().values() for name in names}
         if _OTHER in listed:
             self.other.change(_CONFIGURATION, {}, [_OTHER])
