--- a/src/cranberrywheel/platform/store.py
+++ b/src/cranberrywheel/platform/store.py
@@ -15,7 +15,7 @@
 CALL_TIMEOUT_MS = 800
 #: Time added to the wait of a watch call before it counts as unanswered.
 WATCH_MARGIN_MS = 700
-#: Most entries (conditions, puts and deletions) in one write.
+#: Largest number of entries (conditions, puts and deletions) in one write.
 MAX_WRITE_ENTRIES = 32
 
 _log = ComponentLogger("store")
@@ -243,7 +243,9 @@
     def write(self, write: Write, done: ReplyCallback) -> None:
         """Write atomically; a ``CONFLICT`` reply holds the items of the conditions."""
         body = {
-            "precondition": [{"key": k, "revision": r} for k, r in write.conditions],
+            "precondition": [
+                {"key": key, "revision": revision} for key, revision in write.conditions
+            ],
             "puts": [
                 {
                     "key": key,
--- a/src/cranberrywheel_spec/freshness_conformance.py
+++ b/src/cranberrywheel_spec/freshness_conformance.py
@@ -1,4 +1,4 @@
-"""Compares versions, marks and proofs in the product with the key freshness model."""
+"""Compares versions, tombstones and freshness proofs with the key freshness model."""
 
 import fractions
 import typing as t
@@ -25,7 +25,7 @@
     PAIRS,
     key_freshness,
 )
-from cranberrywheel_spec.walk import CompiledModel, Walk
+from cranberrywheel_spec.model_execution import CompiledModel, ModelExecution
 
 _MODEL = CompiledModel(key_freshness())
 _KEY = "key1"
@@ -48,7 +48,7 @@
 
 
 def _records() -> tuple[Record, Record]:
-    """Return the configuration before and after the withdrawal."""
+    """Return the configuration record before and after the key is revoked."""
     granted = {_KEY: KeyEntry(_KEY, "t", "0" * 64)}
     first = prepare_write(
         CONFIGURATION_KEY, None, "w", build_configuration_body(_TEXT, 1, granted, [])
@@ -72,7 +72,7 @@
             operator_token_file="unused",
             platform=PlatformSettings(url="http://127.0.0.1:1"),
         )
-        # Clocks of two machines are unrelated.
+        # Steady clocks of two instances have unrelated origins.
         self.start_ms = 1_000_000 * number
         self.clock = ManualClock(self.start_ms)
         self.tracker = FreshnessTracker()
@@ -86,20 +86,22 @@
             self.proof_ms = message.proven_ms - self.start_ms
 
     def knows(self) -> bool:
-        """Tell whether this entry refuses the withdrawn key."""
-        snapshot = self.exchange.holder.snapshot
-        withdrawn = snapshot is not None and _KEY not in snapshot.keys_by_id
-        return withdrawn or _KEY in self.exchange.list_unwritten_tombstones()
+        """Return whether this entry refuses the revoked key."""
+        snapshot = self.exchange.active_configuration.snapshot
+        is_revoked = snapshot is not None and _KEY not in snapshot.keys_by_id
+        return is_revoked or _KEY in self.exchange.list_unwritten_tombstones()
 
 
 class FreshnessMachine(ConformanceMachine):
-    """Real exchanges, holders and trackers must not claim more than the model."""
+    """Requires that the product claims no more freshness than the model allows."""
 
     make_exchange: t.ClassVar[type[PeerExchange]] = PeerExchange
 
     def __init__(self) -> None:
         super().__init__()
-        self.walk = Walk(_MODEL, lists_c=True, lists_w=True, lists_d=True)
+        self.execution = ModelExecution(
+            _MODEL, lists_c=True, lists_w=True, lists_d=True
+        )
         self.before, self.after = _records()
         self.stored = self.before
         self.passed_ms = 0
@@ -113,7 +115,7 @@
         self.answers: dict[str, tuple[PeerState, Record | None]] = {}
         roster = [e.exchange.registration for e in self.entries.values()]
         for entry in self.entries.values():
-            entry.exchange.holder.adopt(self.stored)
+            entry.exchange.active_configuration.adopt(self.stored)
             entry.exchange.set_roster(roster, entry.start_ms)
         self._list_instances()
 
@@ -131,68 +133,78 @@
         """Return the model that this machine compares with."""
         return _MODEL
 
-    def options(self) -> dict[str, int]:
-        found = {"wait": 6, "deliver_old_record x": 1, "deliver_old_record d": 1}
-        for name in self.walk.enabled():
+    def list_step_weights(self) -> dict[str, int]:
+        weights = {"wait": 6, "deliver_old_record x": 1, "deliver_old_record d": 1}
+        for name in self.execution.find_enabled_actions():
             if "answer" in name or "gets" in name:
-                found[f"take {name}"] = 9
+                weights[f"take {name}"] = 9
             elif "has heard all" not in name:
-                found[f"take {name}"] = 1 if "dies" in name else 2
-        return found
+                weights[f"take {name}"] = 1 if "dies" in name else 2
+        return weights
 
     def wait(self) -> None:
-        """Let time pass."""
+        """Advance all clocks."""
         passed_ms = self.rng.choice(_PASSED_MS)
         self.passed_ms += passed_ms
         for entry in self.entries.values():
             entry.clock.advance(passed_ms)
         self._check()
 
-    def deliver_old_record(self, i: str) -> None:
-        """A watch that was answered before the withdrawal, and a slow peer."""
-        self.entries[i].exchange.holder.adopt(self.before)
+    def deliver_old_record(self, entry_name: str) -> None:
+        """Deliver the old record late, as by a delayed watch or a slow peer."""
+        self.entries[entry_name].exchange.active_configuration.adopt(self.before)
         self._check()
 
-    def _walk(self, name: str) -> None:
-        self.walk.take(name, passed_s=fractions.Fraction(self.passed_ms, 1000))
+    def _advance_model(self, name: str) -> None:
+        self.execution.take_action(
+            name, passed_s=fractions.Fraction(self.passed_ms, 1000)
+        )
         self.passed_ms = 0
 
     def take(self, name: str) -> None:
-        """Take a step of the model and do the same in the product."""
-        self._walk(name)
-        for i in LEARNERS:
-            if name == f"{i} sends a read to the store":
-                self.sent_ms[i] = self.entries[i].clock.now_ms()
-            elif name == f"store answers {i}":
-                self.reads[i] = self.sent_ms[i], self.stored
-            elif name == f"{i} gets the record":
-                self._get_record(i)
-        for i, j in PAIRS:
-            if name == f"{i} calls {j}":
-                self.sent_ms[i + j] = self.entries[i].clock.now_ms()
-            elif name == f"{j} answers {i}":
-                exchange = self.entries[j].exchange
-                self.answers[i + j] = exchange.build_state(), exchange.holder.record
-            elif name == f"{i} gets the answer of {j}":
-                self._get_answer(i, j)
+        """Take a step of the model and apply it to the product."""
+        self._advance_model(name)
+        for entry_name in LEARNERS:
+            if name == f"{entry_name} sends a read to the store":
+                self.sent_ms[entry_name] = self.entries[entry_name].clock.now_ms()
+            elif name == f"store answers {entry_name}":
+                self.reads[entry_name] = self.sent_ms[entry_name], self.stored
+            elif name == f"{entry_name} gets the record":
+                self._get_record(entry_name)
+        for entry_name, peer_name in PAIRS:
+            if name == f"{entry_name} calls {peer_name}":
+                self.sent_ms[entry_name + peer_name] = self.entries[
+                    entry_name
+                ].clock.now_ms()
+            elif name == f"{peer_name} answers {entry_name}":
+                exchange = self.entries[peer_name].exchange
+                self.answers[entry_name + peer_name] = (
+                    exchange.build_state(),
+                    exchange.active_configuration.record,
+                )
+            elif name == f"{entry_name} gets the answer of {peer_name}":
+                self._get_answer(entry_name, peer_name)
         self._withdraw(name)
         self._check()
 
-    def _get_record(self, i: str) -> None:
-        sent_ms, record = self.reads[i]
-        exchange = self.entries[i].exchange
-        exchange.holder.adopt(record)
+    def _get_record(self, entry_name: str) -> None:
+        sent_ms, record = self.reads[entry_name]
+        exchange = self.entries[entry_name].exchange
+        exchange.active_configuration.adopt(record)
         exchange.record_store_read(sent_ms)
 
-    def _get_answer(self, i: str, j: str) -> None:
-        state, record = self.answers[i + j]
-        exchange, sent_ms = self.entries[i].exchange, self.sent_ms[i + j]
+    def _get_answer(self, entry_name: str, peer_name: str) -> None:
+        state, record = self.answers[entry_name + peer_name]
+        exchange, sent_ms = (
+            self.entries[entry_name].exchange,
+            self.sent_ms[entry_name + peer_name],
+        )
         if not exchange.merge_state(state, sent_ms):
-            exchange.holder.adopt(record)
+            exchange.active_configuration.adopt(record)
             assert exchange.merge_state(state, sent_ms)
-        # The product counts the messages of all entries in each merge.
-        if f"{i} has heard all" in self.walk.enabled():
-            self._walk(f"{i} has heard all")
+        # Each merge in the product also evaluates the proof from all entries' reports.
+        if f"{entry_name} has heard all" in self.execution.find_enabled_actions():
+            self._advance_model(f"{entry_name} has heard all")
 
     def _withdraw(self, name: str) -> None:
         w, c = self.entries["w"].exchange, self.entries["c"].exchange
@@ -205,17 +217,17 @@
             self.stored = self.after
         if name == "c confirms the mark":
             c.merge_state(w.build_state(), None)
-        for k in INFORMED:
-            if name == f"{k} dies, list shows it gone":
-                self.listed.discard(k)
+        for informed_name in INFORMED:
+            if name == f"{informed_name} dies, list shows it gone":
+                self.listed.discard(informed_name)
                 self._list_instances()
 
     def _check(self) -> None:
-        values = self.walk.values
+        values = self.execution.values
         now_s = values["now_s"] + fractions.Fraction(self.passed_ms, 1000)
-        late = values["accepted"] and now_s - values["accepted_s"] > BOUND_S
+        is_late = values["accepted"] and now_s - values["accepted_s"] > BOUND_S
         for name, entry in self.entries.items():
-            version = entry.exchange.holder.version
+            version = entry.exchange.active_configuration.version
             assert version >= entry.version, f"{name} reverted to {version}"
             entry.version = version
             assert entry.knows() >= bool(values[f"knows_{name}"]), name
@@ -223,4 +235,4 @@
                 assert entry.proof_ms <= values[f"proof_s_{name}"] * 1000, name
                 now_ms = entry.clock.now_ms()
                 fresh = entry.tracker.is_fresh(now_ms, BOUND_S * 1000)
-                assert not (late and fresh) or entry.knows(), f"{name} accepts"
+                assert not (is_late and fresh) or entry.knows(), f"{name} accepts"
--- a/tests/test_pool_conformance.py
+++ b/tests/test_pool_conformance.py
@@ -3,20 +3,20 @@
 
 from cranberrywheel.process import instance_lifecycle
 from cranberrywheel.process.zone_record import ZoneRecord
-from cranberrywheel_spec.compare import run_settings
+from cranberrywheel_spec.compare import build_run_settings
 from cranberrywheel_spec.pool_conformance import PoolMachine, _Client
 
 
 class RereadingZone(ZoneRecord):
-    """Writes against the newest revision instead of the one it knows."""
+    """Writes against the newest revision instead of the one that it has read."""
 
     def _write(self, pools):
         self._stored = self._records.read(self._key)
         super()._write(pools)
 
 
-class QuietZone(ZoneRecord):
-    """Takes the recorded states for true without telling the platform."""
+class UnconfirmedZone(ZoneRecord):
+    """Treats the recorded states as confirmed without calling the platform."""
 
     def claim(self, configuration, now_ms):
         super().claim(configuration, now_ms)
@@ -28,26 +28,26 @@
         return super().control_instance(name, action, 99)
 
 
-def advance_at_once(row, report, rebooted, due, now_ms):
+def advance_without_idle_report(row, report, rebooted, due, now_ms):
     return instance_lifecycle.advance(
         row, instance_lifecycle.WorkerReport(running=0), rebooted, due, now_ms
     )
 
 
 class PoolConformanceTest(testtools.TestCase):
-    """Guards against pool code that differs from the checked model."""
+    """Guards against conformance checks that miss faults in the pool code."""
 
-    def test_changed_moves_are_found(self):
+    def test_faulty_moves_are_detected(self):
         for changes in (
             {"make_zone": RereadingZone},
-            {"make_zone": QuietZone},
+            {"make_zone": UnconfirmedZone},
             {"make_client": UnfencedClient},
-            {"advance": staticmethod(advance_at_once)},
+            {"advance": staticmethod(advance_without_idle_report)},
         ):
-            changed = type("Changed", (PoolMachine,), changes)
+            faulty_class = type("Changed", (PoolMachine,), changes)
             self.assertRaises(
                 AssertionError,
                 run_state_machine_as_test,
-                changed,
-                settings=run_settings(500),
+                faulty_class,
+                settings=build_run_settings(500),
             )
